--- a/libs/http1/include/mintknot/http1/message_parser.hpp
+++ b/libs/http1/include/mintknot/http1/message_parser.hpp
@@ -33,7 +33,8 @@
 using body_sink = std::function<void(std::string_view piece)>;
 
 /// Parses one request. Ambiguous framing (two lengths that differ, a length
-/// beside chunks, bare line feeds) is malformed.
+/// beside chunks, bare line feeds, a transfer coding other than chunked) is
+/// malformed. Trailers are dropped.
 ///
 /// @code
 /// request_parser parser(limits);
@@ -63,6 +64,7 @@
 };
 
 /// Parses one answer; informational answers (1xx) are messages of their own.
+/// Framing is as strict as for requests, and trailers are dropped.
 class response_parser {
 public:
     /// @param no_body the answer belongs to a HEAD request.
--- a/libs/http1/src/message_parser.cpp
+++ b/libs/http1/src/message_parser.cpp
@@ -56,6 +56,17 @@
             failure_ = parse_error::malformed;
     }
 
+    /// Any other coding would leave the end of the body to a guess: what
+    /// follows the head could then be read as the next message (RFC 9112,
+    /// sections 6.1 and 6.3).
+    bool has_known_coding() const {
+        const std::string* coding =
+            find_field(head_.fields, "Transfer-Encoding");
+        if (coding == nullptr)
+            return true;
+        return head_.minor_version > 0 && same_name(*coding, "chunked");
+    }
+
     framing framing_now() const {
         if (this->chunked())
             return framing::chunked;
@@ -72,10 +83,16 @@
     void on_field_impl(
         http::field, beast::string_view name, beast::string_view value,
         beast::error_code&) override {
+        // Trailers of a chunked body are dropped: they must not pass for
+        // fields of the head.
+        if (this->is_header_done())
+            return;
         head_.fields.push_back(
             {std::string(text_of(name)), std::string(text_of(value))});
     }
-    void on_header_impl(beast::error_code&) override {
+    void on_header_impl(beast::error_code& code) override {
+        if (!has_known_coding())
+            code = http::error::bad_transfer_encoding;
         head_.keep_alive = this->keep_alive();
         head_.body = framing_now();
     }
--- a/libs/http1/tests/test_message_parser.cpp
+++ b/libs/http1/tests/test_message_parser.cpp
@@ -83,6 +83,47 @@
         parse_error::malformed);
 }
 
+Test(request_parser, rejects_every_coding_but_chunked) {
+    for (const char* coding :
+         {"identity", "gzip", "xchunked", "chunked, chunked",
+          "chunked, identity", "gzip, chunked", "chunked;q=1", "chunked,",
+          "\"chunked\"", ""}) {
+        const parsed seen = parse_request(
+            std::string("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: ") +
+                coding + "\r\n\r\nPOST /b HTTP/1.1\r\nHost: h\r\n\r\n",
+            1000);
+        cr_assert(!seen.done, "done with coding %s", coding);
+        cr_assert(
+            seen.error == parse_error::malformed, "accepted coding %s", coding);
+    }
+    cr_assert(
+        error_of("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n"
+                 "Transfer-Encoding: gzip\r\n\r\n0\r\n\r\n") ==
+        parse_error::malformed);
+    cr_assert(
+        error_of("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip\r\n"
+                 "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n") ==
+        parse_error::malformed);
+    cr_assert(
+        error_of("POST / HTTP/1.0\r\nHost: h\r\n"
+                 "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n") ==
+        parse_error::malformed);
+    cr_assert(
+        error_of("POST / HTTP/1.1\r\nHost: h\r\n"
+                 "Transfer-Encoding: Chunked\r\n\r\n0\r\n\r\n") ==
+        parse_error::none);
+}
+
+Test(request_parser, trailers_do_not_become_fields_of_the_head) {
+    const parsed seen = parse_request(
+        "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
+        "3\r\nabc\r\n0\r\nX-Late: 1\r\n\r\n",
+        1000);
+    cr_assert(seen.done);
+    cr_assert(seen.body == "abc");
+    cr_assert(find_field(seen.head.fields, "X-Late") == nullptr);
+}
+
 Test(request_parser, rejects_bare_line_feeds_and_noise) {
     cr_assert(
         error_of("GET / HTTP/1.1\nHost: h\n\n\r\n\r\n") ==
@@ -132,6 +173,19 @@
     cr_assert(parser.error() == parse_error::cut_off);
 }
 
+Test(response_parser, an_unknown_coding_is_no_proper_answer) {
+    for (const char* coding : {"identity", "gzip", "chunked, identity"}) {
+        response_parser parser({1024, 1024}, false);
+        parser.put(
+            std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: ") + coding +
+                "\r\n\r\nabc",
+            nullptr);
+        parser.put_end();
+        cr_assert(!parser.done());
+        cr_assert(parser.error() == parse_error::malformed);
+    }
+}
+
 Test(response_parser, leaves_surplus_bytes) {
     response_parser parser({1024, 1024}, false);
     const std::string text =
--- a/libs/relay/tests/test_entry_server.cpp
+++ b/libs/relay/tests/test_entry_server.cpp
@@ -53,6 +53,23 @@
     cr_assert(server.requests.empty());
 }
 
+Test(entry_server, an_unknown_transfer_coding_reaches_no_server) {
+    for (const char* coding :
+         {"identity", "gzip", "xchunked", "chunked, chunked",
+          "chunked, identity", "gzip, chunked", "chunked;q=1"}) {
+        relay_fixture f;
+        scripted_server& server = f.add_server("i", "app", plain, echoing());
+        const caller_view seen = f.ask(
+            std::string("POST /unsafe/x HTTP/1.1\r\nHost: h\r\nId: a\r\n") +
+                "Transfer-Encoding: " + coding +
+                "\r\n\r\nPOST /unsafe/y HTTP/1.1\r\nHost: h\r\nId: b\r\n\r\n",
+            [] { return false; });
+        cr_assert(seen.status == 400, "coding %s", coding);
+        cr_assert(count(seen.text, "HTTP/1.1 ") == 1, "coding %s", coding);
+        cr_assert(server.requests.empty(), "coding %s", coding);
+    }
+}
+
 Test(entry_server, malformed_requests_get_an_answer_and_a_close) {
     relay_fixture f;
     for (const char* bytes :
