--- a/testing/harness/src/testbed_main.cpp
+++ b/testing/harness/src/testbed_main.cpp
@@ -1,10 +1,9 @@
-// testbed: starts a small system on loopback, runs a command in it, and ends
-// everything that it started. The command finds its way by the environment:
-// MINTKNOT_CALLERS, MINTKNOT_SERVER, MINTKNOT_KEY, MINTKNOT_CALLER_KEY,
-// MINTKNOT_PREFILL, MINTKNOT_DECODE, MINTKNOT_PID, MINTKNOT_RESOURCES.
+// testbed: starts a small system without a configuration on loopback, runs a
+// command in it, and ends everything that it started. The command finds its way
+// by the environment: MINTKNOT_CALLERS, MINTKNOT_SERVER, MINTKNOT_KEY,
+// MINTKNOT_CALLER_KEY, MINTKNOT_RESOURCES.
 #include <mintknot/harness/test_cluster.hpp>
 
-#include <absl/strings/str_split.h>
 #include <fmt/format.h>
 #include <tclap/CmdLine.h>
 
@@ -32,10 +31,6 @@
         "", "decode", "decode engines", false, 2, "n", line);
     TCLAP::ValueArg<std::size_t> data_centres(
         "", "data-centres", "data centres", false, 2, "n", line);
-    TCLAP::ValueArg<std::string> engine_arguments(
-        "", "engine", "arguments of the engines, by blanks", false, "", "text",
-        line);
-    TCLAP::SwitchArg bare("", "bare", "apply no configuration", line);
     TCLAP::UnlabeledMultiArg<std::string> command(
         "command", "command with its arguments", true, "command", line);
     line.parse(argc, argv);
@@ -44,13 +39,10 @@
     result.options.instances = instances;
     result.options.prefill_engines = prefill;
     result.options.decode_engines = decode;
-    result.options.apply = !bare;
+    result.options.apply = false;
     result.options.data_centres.clear();
     for (std::size_t i = 1; i <= data_centres; ++i)
         result.options.data_centres.push_back(fmt::format("dc{}", i));
-    for (const auto& word :
-         absl::StrSplit(engine_arguments.getValue(), ' ', absl::SkipEmpty()))
-        result.options.engine_arguments.emplace_back(word);
     result.command = command.getValue();
     return result;
 }
@@ -61,20 +53,11 @@
 
 void describe(harness::test_cluster& cluster) {
     std::vector<std::string> callers;
-    std::vector<std::string> prefill;
-    std::vector<std::string> decode;
     for (const auto& instance : cluster.instances())
         callers.push_back(base::to_string(instance.caller));
-    for (const auto& engine : cluster.engines())
-        (engine.name.front() == 'p' ? prefill : decode)
-            .push_back(base::to_string(engine.where));
     set("MINTKNOT_CALLERS", fmt::format("{}", fmt::join(callers, ",")));
-    set("MINTKNOT_PREFILL", fmt::format("{}", fmt::join(prefill, ",")));
-    set("MINTKNOT_DECODE", fmt::format("{}", fmt::join(decode, ",")));
     set("MINTKNOT_SERVER",
         base::to_string(cluster.instances().front().operators));
-    set("MINTKNOT_PID",
-        std::to_string(cluster.instances().front().process->pid()));
     set("MINTKNOT_KEY", harness::operator_key);
     set("MINTKNOT_CALLER_KEY", harness::norrvik_key);
     set("MINTKNOT_RESOURCES", cluster.write_resources());
