--- a/libs/orders/include/mintknot/orders/phase_balancer.hpp
+++ b/libs/orders/include/mintknot/orders/phase_balancer.hpp
@@ -18,7 +18,6 @@
 
 /// Settings of the balancer.
 struct balancer_options {
-    bool enabled = true;
     std::string holder; ///< Names this run of this instance.
     lease_terms terms;
     base::milliseconds period{500};
--- a/libs/orders/src/phase_balancer.cpp
+++ b/libs/orders/src/phase_balancer.cpp
@@ -284,8 +284,7 @@
 phase_balancer::~phase_balancer() = default;
 
 void phase_balancer::start() {
-    if (impl_->options.enabled)
-        impl_->tick();
+    impl_->tick();
 }
 
 void phase_balancer::stop() {
--- a/libs/relay/include/mintknot/relay/router_state.hpp
+++ b/libs/relay/include/mintknot/relay/router_state.hpp
@@ -32,25 +32,11 @@
 
 namespace mintknot::relay {
 
-/// How generation requests use the two pools.
-enum class prefill_policy {
-    separate, ///< Prefill engines read prompts, decode engines go on.
-    by_decode ///< Decode engines read prompts themselves.
-};
-
 /// Settings of the relay.
 struct relay_options {
     std::string data_centre;
     std::size_t most_callers = 1500; ///< Open connections of callers.
     std::size_t most_body_bytes = 24 * 1024 * 1024; ///< Of all open requests.
-    traffic::selection_policy selection =
-        traffic::selection_policy::least_loaded;
-    prefill_policy prefill = prefill_policy::separate;
-    bool repeats = true; ///< Whether requests are ever sent again.
-    /// Part of the expected output that is reserved in a decode engine's
-    /// memory. Requests are at different points of their output: on average
-    /// each holds about half of it.
-    double output_share = 0.6;
 };
 
 /// What a peer has last told of its retries. What an earlier life of it, or
--- a/libs/relay/src/generation_exchange.cpp
+++ b/libs/relay/src/generation_exchange.cpp
@@ -12,6 +12,11 @@
 /// In a log line: no room was to be foreseen.
 constexpr base::milliseconds not_foreseen{-1};
 constexpr int most_prefills = 3;
+/// Part of the expected output that is reserved in a decode engine's memory.
+/// Requests are at different points of their output: on average each holds
+/// about half of it. Worth of a busy day at 0.8: 0.535 (mean of three plays),
+/// at 0.6: 0.579 (mean of three).
+constexpr double reserved_output_share = 0.6;
 /// A prefill is sent only where the call that runs the request is left.
 constexpr int calls_with_prefill = 2;
 
@@ -54,7 +59,7 @@
     const double most = terms.most_output_tokens;
     const double expected =
         std::min(most, terms.expected_output_tokens.value_or(most / 2.0));
-    return terms.prompt_tokens + owner_.options.output_share * expected;
+    return terms.prompt_tokens + reserved_output_share * expected;
 }
 
 bool generation_exchange::result_usable() const {
@@ -71,7 +76,6 @@
 
 traffic::placement_query generation_exchange::query() const {
     const bool reads_apart =
-        owner_.options.prefill == prefill_policy::separate &&
         prefills_ < most_prefills && !result_usable() && rejected_ <= 1;
     traffic::placement_query wanted;
     wanted.service = service_.name;
--- a/libs/relay/src/router_state.cpp
+++ b/libs/relay/src/router_state.cpp
@@ -119,13 +119,12 @@
 }
 
 bool spend_repeat(router& owner, const std::string& service) {
-    return owner.options.repeats &&
-           traffic::spend(
-               owner.state.allowances[service], owner.state.retry_bounds,
-               {owner.state.instances,
-                fleet_usage_of(owner.state, service, owner.loop.now()),
-                owner.state.started},
-               owner.loop.now());
+    const base::steady_time now = owner.loop.now();
+    return traffic::spend(
+        owner.state.allowances[service], owner.state.retry_bounds,
+        {owner.state.instances, fleet_usage_of(owner.state, service, now),
+         owner.state.started},
+        now);
 }
 
 std::unique_ptr<placement_ticket> place_request(
@@ -147,7 +146,6 @@
         owner.state.rates,
         target,
         owner.options.data_centre,
-        owner.options.selection,
         owner.state.instances,
         owner.loop.now(),
         [&owner] { return owner.draw(); }};
--- a/libs/runtime/include/mintknot/runtime/instance.hpp
+++ b/libs/runtime/include/mintknot/runtime/instance.hpp
@@ -21,13 +21,6 @@
 
 namespace mintknot::runtime {
 
-/// Who chooses the servers of a request.
-enum class placement_policy {
-    here,         ///< The instance that has it, by what all tell each other.
-    by_scheduler, ///< One instance for each part of the servers.
-    by_size       ///< Schedulers where there are many instances.
-};
-
 /// Settings of an instance, in the product's own words.
 struct instance_settings {
     std::string name;
@@ -42,10 +35,11 @@
     traffic::retry_bounds retry_bounds;
     /// Within which a server that says that it leaves gets no new request.
     base::milliseconds drain_bound{2000};
-    bool balance_phases = true; ///< Whether engines get orders.
     /// How long another holder of orders must wait after the last one.
     base::milliseconds order_lease{3000};
-    placement_policy placement = placement_policy::by_size;
+    /// Schedulers place requests whatever the size of the group; else only in
+    /// a large one.
+    bool always_schedule = false;
     relay::relay_options relay;
 };
 
--- a/libs/runtime/src/instance.cpp
+++ b/libs/runtime/src/instance.cpp
@@ -169,20 +169,11 @@
     }
 
     bool uses_schedulers() const {
-        switch (settings.placement) {
-        case placement_policy::here:
-            return false;
-        case placement_policy::by_scheduler:
-            return true;
-        case placement_policy::by_size:
-            break;
-        }
-        return peers::is_large(group.table());
+        return settings.always_schedule || peers::is_large(group.table());
     }
 
     orders::balancer_options balancer_options() const {
         orders::balancer_options options;
-        options.enabled = settings.balance_phases;
         options.holder =
             fmt::format("{}/{}", settings.name, base::random_token());
         options.terms.length = settings.order_lease;
--- a/libs/traffic/include/mintknot/traffic/selection.hpp
+++ b/libs/traffic/include/mintknot/traffic/selection.hpp
@@ -16,12 +16,6 @@
 
 namespace mintknot::traffic {
 
-/// How servers are chosen; switchable, so that policies can be compared.
-enum class selection_policy {
-    random,      ///< Any server that takes requests: the baseline.
-    least_loaded ///< By the work that all instances have in flight.
-};
-
 /// How fast prefill engines have been seen to read, in tokens a millisecond.
 struct read_rates {
     std::unordered_map<std::string, double> by_id;
@@ -55,8 +49,7 @@
     const read_rates& rates;
     const service& target;
     std::string own_data_centre; ///< Of the instance that has the request.
-    selection_policy policy = selection_policy::least_loaded;
-    std::size_t instances = 1; ///< How many share a server's connections.
+    std::size_t instances = 1;   ///< How many share a server's connections.
     base::steady_time now;
     std::function<double()> draw;   ///< Uniform in [0, 1).
     std::string only_data_centre{}; ///< Empty: servers everywhere.
--- a/libs/traffic/src/selection.cpp
+++ b/libs/traffic/src/selection.cpp
@@ -135,10 +135,6 @@
     return phase != engine_phase::prefill;
 }
 
-bool is_random(const selection_inputs& inputs) {
-    return inputs.policy == selection_policy::random;
-}
-
 } // namespace
 
 void note_read(
@@ -188,8 +184,6 @@
 select_plain(const selection_inputs& inputs, const excluded_servers& excluded) {
     return best_of(
         inputs, excluded, any_phase, [&inputs](const server& candidate) {
-            if (is_random(inputs))
-                return inputs.draw();
             const server_load load = total(inputs.loads, candidate.id);
             double score =
                 static_cast<double>(load.calls) / std::max(candidate.slots, 1);
@@ -219,8 +213,6 @@
     double prompt_tokens) {
     return best_of(
         inputs, excluded, prefill_phase, [&](const server& candidate) {
-            if (is_random(inputs))
-                return inputs.draw();
             double score = static_cast<double>(
                 expected_read_time(inputs, candidate, prompt_tokens).count());
             if (candidate.data_centre != inputs.own_data_centre)
@@ -240,8 +232,6 @@
             : 0.0;
     return best_of(
         inputs, excluded, decode_phase, [&](const server& candidate) {
-            if (is_random(inputs))
-                return inputs.draw();
             const server_load load = total(inputs.loads, candidate.id);
             if (load.calls >= candidate.slots)
                 return impossible;
--- a/libs/traffic/tests/test_selection.cpp
+++ b/libs/traffic/tests/test_selection.cpp
@@ -31,17 +31,8 @@
         apply(servers, id, ++version, value);
     }
     selection_inputs inputs() {
-        return {
-            servers,
-            loads,
-            health,
-            rates,
-            target,
-            "a",
-            selection_policy::least_loaded,
-            4,
-            start,
-            [] { return 0.5; }};
+        return {servers,           loads, health, rates, target, "a", 4, start,
+                [] { return 0.5; }};
     }
 
     server_table servers;
--- a/testing/soak/src/soak_run.cpp
+++ b/testing/soak/src/soak_run.cpp
@@ -45,9 +45,7 @@
 public:
     explicit soak(const soak_options& options)
         : options_(options)
-        , system_(
-              directory_.path, options.instances,
-              options.schedulers ? "scheduler" : "here")
+        , system_(directory_.path, options.instances, options.schedulers)
         , clients_(owner_, entries(), options.seed)
         , faults_(
               owner_, system_,
--- a/testing/soak/src/soak_system.cpp
+++ b/testing/soak/src/soak_system.cpp
@@ -73,9 +73,9 @@
 } // namespace
 
 soak_system::soak_system(
-    std::string directory, std::size_t instances, std::string placement)
+    std::string directory, std::size_t instances, bool schedulers)
     : directory_(std::move(directory))
-    , placement_(std::move(placement))
+    , schedulers_(schedulers)
     , port_(free_port()) {
     store_.program = "platform-store";
     store_.running = std::make_unique<harness::child_process>(
@@ -172,8 +172,9 @@
 void soak_system::restart_instance(std::size_t index) {
     soak_process& instance = instances_[index];
     instance.program = "mintknotd-platform";
-    instance.arguments = {
-        "--settings", write_settings(index), "--placement", placement_};
+    instance.arguments = {"--settings", write_settings(index)};
+    if (schedulers_)
+        instance.arguments.emplace_back("--always-schedule");
     instance.running.reset();
     instance.running = std::make_unique<harness::child_process>(
         instance.program, instance.arguments, path("instance.log"));
--- a/testing/soak/src/soak_system.hpp
+++ b/testing/soak/src/soak_system.hpp
@@ -31,9 +31,8 @@
 class soak_system {
 public:
     /// @param directory takes settings, ledger and logs.
-    /// @param placement policy that the instances are told.
-    soak_system(
-        std::string directory, std::size_t instances, std::string placement);
+    /// @param schedulers whether they place requests in this small group too.
+    soak_system(std::string directory, std::size_t instances, bool schedulers);
 
     /// Servers end and come back under new IDs.
     std::vector<soak_process>& servers() { return servers_; }
@@ -69,7 +68,7 @@
     std::string path(const std::string& name) const;
 
     std::string directory_;
-    std::string placement_;
+    bool schedulers_;
     standins::fault_proxy proxy_;
     std::vector<std::string> links_;
     std::vector<base::address> server_links_;
