--- a/libs/claims/tests/test_claim_ledger.cpp
+++ b/libs/mintknotd/claims/tests/test_claim_ledger.cpp
@@ -1,7 +1,7 @@
 #include <mintknot/claims/claim_ledger.hpp>
 
 #include <mintknot/base/random.hpp>
-#include <mintknot/platform/http_platform.hpp>
+#include <mintknot/table_service/http_platform.hpp>
 #include <mintknot/standins/fake_platform.hpp>
 
 #include <criterion/criterion.h>
--- a/libs/claims/tests/test_claim_sweeper.cpp
+++ b/libs/mintknotd/claims/tests/test_claim_sweeper.cpp
@@ -1,6 +1,6 @@
 #include <mintknot/claims/claim.hpp>
 #include <mintknot/claims/claim_sweeper.hpp>
-#include <mintknot/platform/http_platform.hpp>
+#include <mintknot/table_service/http_platform.hpp>
 #include <mintknot/standins/fake_platform.hpp>
 
 #include <criterion/criterion.h>
--- a/libs/daemon/src/daemon.cpp
+++ b/libs/mintknotd/daemon/src/daemon.cpp
@@ -13,7 +13,7 @@
 #include <mintknot/entry/placer.hpp>
 #include <mintknot/net/http_server.hpp>
 #include <mintknot/operators/operator_api.hpp>
-#include <mintknot/platform/http_platform.hpp>
+#include <mintknot/table_service/http_platform.hpp>
 #include <mintknot/supervise/supervisor.hpp>
 
 #include <fmt/format.h>
--- a/libs/platform/include/mintknot/platform/platform_client.hpp
+++ b/libs/mintknotd/table_service/include/mintknot/table_service/platform_client.hpp
@@ -3,7 +3,7 @@
 #ifndef MINTKNOT_PLATFORM_PLATFORM_CLIENT_HPP
 #define MINTKNOT_PLATFORM_PLATFORM_CLIENT_HPP
 
-#include <mintknot/platform/transaction.hpp>
+#include <mintknot/table_service/transaction.hpp>
 
 #include <absl/status/statusor.h>
 
--- a/libs/platform/src/http_platform.cpp
+++ b/libs/mintknotd/table_service/src/http_platform.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/platform/http_platform.hpp>
+#include <mintknot/table_service/http_platform.hpp>
 
 #include <mintknot/base/json_reader.hpp>
 
--- a/libs/platform/src/transaction.cpp
+++ b/libs/mintknotd/table_service/src/transaction.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/platform/transaction.hpp>
+#include <mintknot/table_service/transaction.hpp>
 
 #include <utility>
 
--- a/testing/standins/tests/test_fake_platform.cpp
+++ b/testing/standins/tests/test_fake_platform.cpp
@@ -1,5 +1,5 @@
 #include <fmt/format.h>
-#include <mintknot/platform/http_platform.hpp>
+#include <mintknot/table_service/http_platform.hpp>
 #include <mintknot/standins/fake_platform.hpp>
 
 #include <criterion/criterion.h>
