--- a/libs/mintknotd-platform/orders/include/mintknot/orders/phase_balancer.hpp
+++ b/libs/mintknotd-platform/orders/include/mintknot/orders/phase_balancer.hpp
@@ -4,8 +4,8 @@
 #define MINTKNOT_ORDERS_PHASE_BALANCER_HPP
 
 #include <mintknot/event/loop.hpp>
-#include <mintknot/orders/lease.hpp>
-#include <mintknot/orders/phase_plan.hpp>
+#include <mintknot/policy/lease.hpp>
+#include <mintknot/policy/phase_plan.hpp>
 #include <mintknot/relay/router_state.hpp>
 #include <mintknot/state/store.hpp>
 
--- a/libs/mintknotd-platform/peers/include/mintknot/peers/heartbeat.hpp
+++ b/libs/mintknotd-platform/peers/include/mintknot/peers/heartbeat.hpp
@@ -4,9 +4,9 @@
 #define MINTKNOT_PEERS_HEARTBEAT_HPP
 
 #include <mintknot/base/time.hpp>
+#include <mintknot/policy/retry_allowance.hpp>
+#include <mintknot/policy/server_health.hpp>
 #include <mintknot/traffic/load_view.hpp>
-#include <mintknot/traffic/retry_allowance.hpp>
-#include <mintknot/traffic/server_health.hpp>
 
 #include <absl/status/statusor.h>
 
--- a/libs/mintknotd-platform/peers/include/mintknot/peers/message_parts.hpp
+++ b/libs/mintknotd-platform/peers/include/mintknot/peers/message_parts.hpp
@@ -3,8 +3,8 @@
 #ifndef MINTKNOT_PEERS_MESSAGE_PARTS_HPP
 #define MINTKNOT_PEERS_MESSAGE_PARTS_HPP
 
+#include <mintknot/policy/server_health.hpp>
 #include <mintknot/traffic/load_view.hpp>
-#include <mintknot/traffic/server_health.hpp>
 
 #include <nlohmann/json.hpp>
 
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/admission.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/admission.hpp
@@ -4,7 +4,7 @@
 #define MINTKNOT_RELAY_ADMISSION_HPP
 
 #include <mintknot/base/time.hpp>
-#include <mintknot/traffic/room_forecast.hpp>
+#include <mintknot/policy/room_forecast.hpp>
 
 #include <optional>
 
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/drain.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/drain.hpp
@@ -4,7 +4,7 @@
 #define MINTKNOT_RELAY_DRAIN_HPP
 
 #include <mintknot/base/time.hpp>
-#include <mintknot/traffic/catalogue.hpp>
+#include <mintknot/traffic/configuration.hpp>
 
 #include <cstddef>
 
--- a/libs/mintknotd-platform/orders/include/mintknot/orders/phase_plan.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/phase_plan.hpp
@@ -3,7 +3,7 @@
 #ifndef MINTKNOT_ORDERS_PHASE_PLAN_HPP
 #define MINTKNOT_ORDERS_PHASE_PLAN_HPP
 
-#include <mintknot/traffic/phase_demand.hpp>
+#include <mintknot/policy/phase_demand.hpp>
 #include <mintknot/traffic/server_table.hpp>
 
 #include <functional>
--- a/libs/mintknotd-platform/traffic/include/mintknot/traffic/placement.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/placement.hpp
@@ -3,7 +3,7 @@
 #ifndef MINTKNOT_TRAFFIC_PLACEMENT_HPP
 #define MINTKNOT_TRAFFIC_PLACEMENT_HPP
 
-#include <mintknot/traffic/selection.hpp>
+#include <mintknot/policy/selection.hpp>
 
 #include <string>
 
--- a/libs/mintknotd-platform/traffic/include/mintknot/traffic/selection.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/selection.hpp
@@ -3,10 +3,10 @@
 #ifndef MINTKNOT_TRAFFIC_SELECTION_HPP
 #define MINTKNOT_TRAFFIC_SELECTION_HPP
 
-#include <mintknot/traffic/catalogue.hpp>
+#include <mintknot/policy/room_forecast.hpp>
+#include <mintknot/policy/server_health.hpp>
+#include <mintknot/traffic/configuration.hpp>
 #include <mintknot/traffic/load_view.hpp>
-#include <mintknot/traffic/room_forecast.hpp>
-#include <mintknot/traffic/server_health.hpp>
 #include <mintknot/traffic/server_table.hpp>
 
 #include <functional>
--- a/libs/mintknotd-platform/relay/src/admission.cpp
+++ b/libs/mintknotd-platform/policy/src/admission.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/relay/admission.hpp>
+#include <mintknot/policy/admission.hpp>
 
 #include <algorithm>
 #include <cstdint>
--- a/libs/mintknotd-platform/scheduling/src/domain.cpp
+++ b/libs/mintknotd-platform/policy/src/domain.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/scheduling/domain.hpp>
+#include <mintknot/policy/domain.hpp>
 
 #include <mintknot/base/rendezvous.hpp>
 
--- a/libs/mintknotd-platform/relay/src/drain.cpp
+++ b/libs/mintknotd-platform/policy/src/drain.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/relay/drain.hpp>
+#include <mintknot/policy/drain.hpp>
 
 #include <algorithm>
 
--- a/libs/mintknotd-platform/orders/src/lease.cpp
+++ b/libs/mintknotd-platform/policy/src/lease.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/orders/lease.hpp>
+#include <mintknot/policy/lease.hpp>
 
 namespace mintknot::orders {
 
--- a/libs/mintknotd-platform/traffic/src/phase_demand.cpp
+++ b/libs/mintknotd-platform/policy/src/phase_demand.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/traffic/phase_demand.hpp>
+#include <mintknot/policy/phase_demand.hpp>
 
 #include <algorithm>
 #include <cstdint>
--- a/libs/mintknotd-platform/orders/src/phase_plan.cpp
+++ b/libs/mintknotd-platform/policy/src/phase_plan.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/orders/phase_plan.hpp>
+#include <mintknot/policy/phase_plan.hpp>
 
 #include <algorithm>
 #include <cmath>
--- a/libs/mintknotd-platform/traffic/src/placement.cpp
+++ b/libs/mintknotd-platform/policy/src/placement.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/traffic/placement.hpp>
+#include <mintknot/policy/placement.hpp>
 
 namespace mintknot::traffic {
 
--- a/libs/mintknotd-platform/traffic/src/retry_allowance.cpp
+++ b/libs/mintknotd-platform/policy/src/retry_allowance.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/traffic/retry_allowance.hpp>
+#include <mintknot/policy/retry_allowance.hpp>
 
 #include <algorithm>
 
--- a/libs/mintknotd-platform/traffic/src/room_forecast.cpp
+++ b/libs/mintknotd-platform/policy/src/room_forecast.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/traffic/room_forecast.hpp>
+#include <mintknot/policy/room_forecast.hpp>
 
 #include <algorithm>
 #include <cstdint>
--- a/libs/mintknotd-platform/scheduling/tests/test_domain.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_domain.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/scheduling/domain.hpp>
+#include <mintknot/policy/domain.hpp>
 
 #include <criterion/criterion.h>
 #include <fmt/format.h>
--- a/libs/mintknotd-platform/orders/tests/test_lease.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_lease.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/orders/lease.hpp>
+#include <mintknot/policy/lease.hpp>
 
 #include <criterion/criterion.h>
 
--- a/libs/mintknotd-platform/traffic/tests/test_selection.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_selection.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/traffic/selection.hpp>
+#include <mintknot/policy/selection.hpp>
 
 #include <criterion/criterion.h>
 
--- a/libs/mintknotd-platform/traffic/tests/test_server_health.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_server_health.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/traffic/server_health.hpp>
+#include <mintknot/policy/server_health.hpp>
 
 #include <criterion/criterion.h>
 
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/placer.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/placer.hpp
@@ -3,7 +3,7 @@
 #ifndef MINTKNOT_RELAY_PLACER_HPP
 #define MINTKNOT_RELAY_PLACER_HPP
 
-#include <mintknot/traffic/placement.hpp>
+#include <mintknot/policy/placement.hpp>
 
 #include <functional>
 #include <memory>
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/relay_metrics.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/relay_metrics.hpp
@@ -4,7 +4,7 @@
 #define MINTKNOT_RELAY_RELAY_METRICS_HPP
 
 #include <mintknot/base/time.hpp>
-#include <mintknot/traffic/server_health.hpp>
+#include <mintknot/policy/server_health.hpp>
 
 #include <memory>
 #include <string>
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
@@ -5,19 +5,19 @@
 
 #include <mintknot/event/loop.hpp>
 #include <mintknot/logging/line_log.hpp>
-#include <mintknot/relay/admission.hpp>
+#include <mintknot/policy/admission.hpp>
+#include <mintknot/policy/phase_demand.hpp>
+#include <mintknot/policy/retry_allowance.hpp>
+#include <mintknot/policy/selection.hpp>
+#include <mintknot/policy/server_health.hpp>
 #include <mintknot/relay/dialect.hpp>
 #include <mintknot/relay/health_prober.hpp>
 #include <mintknot/relay/placer.hpp>
 #include <mintknot/relay/relay_metrics.hpp>
 #include <mintknot/relay/release_queue.hpp>
 #include <mintknot/relay/wait_queue.hpp>
-#include <mintknot/traffic/catalogue.hpp>
+#include <mintknot/traffic/configuration.hpp>
 #include <mintknot/traffic/load_view.hpp>
-#include <mintknot/traffic/phase_demand.hpp>
-#include <mintknot/traffic/retry_allowance.hpp>
-#include <mintknot/traffic/selection.hpp>
-#include <mintknot/traffic/server_health.hpp>
 #include <mintknot/traffic/server_table.hpp>
 #include <mintknot/upstream/connection_pool.hpp>
 
--- a/libs/mintknotd-platform/relay/src/caller_session.cpp
+++ b/libs/mintknotd-platform/relay/src/caller_session.cpp
@@ -1,7 +1,7 @@
 #include "caller_session.hpp"
 
 #include <mintknot/http1/serialize.hpp>
-#include <mintknot/relay/drain.hpp>
+#include <mintknot/policy/drain.hpp>
 
 namespace mintknot::relay {
 
--- a/libs/mintknotd-platform/relay/tests/test_entry_server.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_entry_server.cpp
@@ -1,6 +1,6 @@
 #include "relay_fixture.hpp"
 
-#include <mintknot/relay/drain.hpp>
+#include <mintknot/policy/drain.hpp>
 
 #include <criterion/criterion.h>
 
--- a/libs/mintknotd-platform/runtime/src/instance.cpp
+++ b/libs/mintknotd-platform/runtime/src/instance.cpp
@@ -8,7 +8,7 @@
 #include <mintknot/base/rendezvous.hpp>
 #include <mintknot/orders/phase_balancer.hpp>
 #include <mintknot/peers/peer_group.hpp>
-#include <mintknot/relay/drain.hpp>
+#include <mintknot/policy/drain.hpp>
 #include <mintknot/relay/entry_server.hpp>
 #include <mintknot/relay/local_server.hpp>
 #include <mintknot/scheduling/remote_placer.hpp>
--- a/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/messages.hpp
+++ b/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/messages.hpp
@@ -3,8 +3,8 @@
 #ifndef MINTKNOT_SCHEDULING_MESSAGES_HPP
 #define MINTKNOT_SCHEDULING_MESSAGES_HPP
 
+#include <mintknot/policy/placement.hpp>
 #include <mintknot/traffic/load_view.hpp>
-#include <mintknot/traffic/placement.hpp>
 
 #include <absl/status/statusor.h>
 
--- a/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
@@ -1,6 +1,6 @@
 #include <mintknot/scheduling/remote_placer.hpp>
 
-#include <mintknot/scheduling/domain.hpp>
+#include <mintknot/policy/domain.hpp>
 #include <mintknot/scheduling/messages.hpp>
 
 #include <algorithm>
--- a/libs/mintknotd-platform/state/include/mintknot/state/replica.hpp
+++ b/libs/mintknotd-platform/state/include/mintknot/state/replica.hpp
@@ -5,7 +5,7 @@
 
 #include <mintknot/logging/line_log.hpp>
 #include <mintknot/state/store.hpp>
-#include <mintknot/traffic/catalogue.hpp>
+#include <mintknot/traffic/configuration.hpp>
 #include <mintknot/traffic/server_table.hpp>
 
 #include <absl/status/statusor.h>
--- a/libs/mintknotd-platform/traffic/src/catalogue.cpp
+++ b/libs/mintknotd-platform/traffic/src/configuration.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/traffic/catalogue.hpp>
+#include <mintknot/traffic/configuration.hpp>
 
 #include <absl/strings/ascii.h>
 
--- a/testing/standins/tests/test_fake_platform.cpp
+++ b/testing/standins/tests/test_fake_platform.cpp
@@ -1,6 +1,6 @@
 #include <fmt/format.h>
-#include <mintknot/table_service/http_platform.hpp>
 #include <mintknot/standins/fake_platform.hpp>
+#include <mintknot/table_service/http_platform.hpp>
 
 #include <criterion/criterion.h>
 
