--- a/libs/mintknotd-platform/orders/include/mintknot/orders/phase_balancer.hpp
+++ b/libs/mintknotd-platform/orders/include/mintknot/orders/phase_balancer.hpp
@@ -19,7 +19,7 @@
 /// Settings of the balancer.
 struct balancer_options {
     std::string holder; ///< Names this run of this instance.
-    lease_terms terms;
+    policy::lease_terms terms;
     base::milliseconds period{500};
     /// After an order, until the next one for the service.
     base::milliseconds pause{1200};
--- a/libs/mintknotd-platform/orders/src/phase_balancer.cpp
+++ b/libs/mintknotd-platform/orders/src/phase_balancer.cpp
@@ -26,8 +26,8 @@
             : notice_timer(owner)
             , limit(owner) {}
         bool busy = false;
-        lease_view view;
-        held_lease lease;
+        policy::lease_view view;
+        policy::held_lease lease;
         base::steady_time not_before{};
         /// Engines that have been ordered to change.
         std::map<std::string, pending_change> changing;
@@ -74,16 +74,17 @@
         if (!change)
             return;
         at.busy = true;
-        if (may_take(at.view, options.holder, options.terms, now()))
+        if (policy::may_take(at.view, options.holder, options.terms, now()))
             take_lease(service, *change);
         else
             read_lease(service);
     }
 
-    std::optional<phase_change> plan(const std::string& service, work& at) {
+    std::optional<policy::phase_change>
+    plan(const std::string& service, work& at) {
         forget_changed(at);
         traffic::expire(router.state.loads, now());
-        std::vector<planned_engine> engines;
+        std::vector<policy::planned_engine> engines;
         for (const traffic::server* engine :
              traffic::open_servers(router.state.servers, service)) {
             const auto changing = at.changing.find(engine->id);
@@ -92,9 +93,9 @@
             else
                 engines.push_back(
                     {engine, engine->phase,
-                     traffic::avoided(router.state.health, engine->id, now())});
+                     policy::avoided(router.state.health, engine->id, now())});
         }
-        return plan_change(
+        return policy::plan_change(
             engines, router.state.demands[service],
             [this](const traffic::server& engine) {
                 const traffic::server_load load =
@@ -133,15 +134,17 @@
                         version = row.version;
                         holder = *row.text;
                     }
-                see(at.view, version, holder, now());
+                policy::see(at.view, version, holder, now());
                 rest(
-                    at, may_take(at.view, options.holder, options.terms, now())
+                    at, policy::may_take(
+                            at.view, options.holder, options.terms, now())
                             ? base::milliseconds{0}
                             : options.pause);
             });
     }
 
-    void take_lease(const std::string& service, const phase_change& change) {
+    void
+    take_lease(const std::string& service, const policy::phase_change& change) {
         const base::steady_time asked = now();
         store.write(
             state::collection::leases, service, work_for(service).view.version,
@@ -152,7 +155,7 @@
     }
 
     void on_taken(
-        const std::string& service, const phase_change& change,
+        const std::string& service, const policy::phase_change& change,
         base::steady_time asked, const state::write_answer& answer) {
         work& at = work_for(service);
         router.log.write(
@@ -165,7 +168,7 @@
             rest(at, refused_pause);
             return;
         }
-        see(at.view, answer.version, options.holder, now());
+        policy::see(at.view, answer.version, options.holder, now());
         at.lease = {answer.version, asked};
         announce(change.server_id);
         at.notice_timer.start(options.notice, [this, service, change] {
@@ -175,7 +178,7 @@
 
     /// Keeps everybody away from an engine that is about to change.
     void announce(const std::string& server_id) {
-        traffic::note_change(
+        policy::note_change(
             router.state.health, server_id, now() + options.change_time);
         if (router.state.on_order)
             router.state.on_order();
@@ -202,7 +205,8 @@
              }});
     }
 
-    void ask_report(const std::string& service, const phase_change& change) {
+    void
+    ask_report(const std::string& service, const policy::phase_change& change) {
         work& at = work_for(service);
         const traffic::server* engine =
             traffic::find(router.state.servers, change.server_id);
@@ -215,7 +219,8 @@
             [this, service, change] { on_report(service, change); });
     }
 
-    void on_report(const std::string& service, const phase_change& change) {
+    void
+    on_report(const std::string& service, const policy::phase_change& change) {
         work& at = work_for(service);
         at.limit.stop();
         at.call.reset();
@@ -230,13 +235,13 @@
     }
 
     void send_order(
-        const std::string& service, const phase_change& change,
+        const std::string& service, const policy::phase_change& change,
         std::int64_t orders_taken) {
         work& at = work_for(service);
         const traffic::server* engine =
             traffic::find(router.state.servers, change.server_id);
         if (engine == nullptr || engine->draining ||
-            !may_order(at.lease, options.terms, now())) {
+            !policy::may_order(at.lease, options.terms, now())) {
             rest(at, options.pause);
             return;
         }
@@ -249,7 +254,8 @@
             [this, service, change] { on_ordered(service, change); });
     }
 
-    void on_ordered(const std::string& service, const phase_change& change) {
+    void
+    on_ordered(const std::string& service, const policy::phase_change& change) {
         work& at = work_for(service);
         at.limit.stop();
         at.call.reset();
--- a/libs/mintknotd-platform/peers/include/mintknot/peers/heartbeat.hpp
+++ b/libs/mintknotd-platform/peers/include/mintknot/peers/heartbeat.hpp
@@ -26,13 +26,13 @@
     std::uint64_t configuration = 0; ///< Newest version that it knows.
     std::uint64_t servers = 0;       ///< Likewise.
     bool leaving = false;
-    std::string data_centre;  ///< Of the sender.
-    traffic::usage_map usage; ///< Retries within the last window.
+    std::string data_centre; ///< Of the sender.
+    policy::usage_map usage; ///< Retries within the last window.
     /// Nothing: the sender tells its loads to schedulers only.
     std::optional<traffic::load_map> loads;
-    std::vector<traffic::server_warning> warnings;
+    std::vector<policy::server_warning> warnings;
     /// Engines that were ordered to change their phase.
-    std::vector<traffic::server_warning> changes;
+    std::vector<policy::server_warning> changes;
     /// Tokens of memory that its requests wait for, by service.
     std::map<std::string, double> waiting;
     std::vector<std::string> hosts; ///< Some instances that it hears.
--- a/libs/mintknotd-platform/peers/include/mintknot/peers/message_parts.hpp
+++ b/libs/mintknotd-platform/peers/include/mintknot/peers/message_parts.hpp
@@ -22,8 +22,8 @@
 traffic::load_map loads_from(const nlohmann::json& rows);
 
 nlohmann::json
-warnings_to_json(const std::vector<traffic::server_warning>& warnings);
-std::vector<traffic::server_warning> warnings_from(const nlohmann::json& rows);
+warnings_to_json(const std::vector<policy::server_warning>& warnings);
+std::vector<policy::server_warning> warnings_from(const nlohmann::json& rows);
 
 } // namespace mintknot::peers
 
--- a/libs/mintknotd-platform/peers/src/heartbeat.cpp
+++ b/libs/mintknotd-platform/peers/src/heartbeat.cpp
@@ -24,15 +24,15 @@
     return loads_from(rows);
 }
 
-json usage_to_json(const traffic::usage_map& usage) {
+json usage_to_json(const policy::usage_map& usage) {
     json rows = json::array();
     for (const auto& [service, used] : usage)
         rows.push_back({service, used.requests, used.repeats});
     return rows;
 }
 
-traffic::usage_map usage_from(const json& rows) {
-    traffic::usage_map usage;
+policy::usage_map usage_from(const json& rows) {
+    policy::usage_map usage;
     for (const json& row : bounded(rows))
         usage[row.at(0).get<std::string>()] = {
             row.at(1).get<std::int64_t>(), row.at(2).get<std::int64_t>()};
--- a/libs/mintknotd-platform/peers/src/message_parts.cpp
+++ b/libs/mintknotd-platform/peers/src/message_parts.cpp
@@ -42,15 +42,15 @@
     return loads;
 }
 
-json warnings_to_json(const std::vector<traffic::server_warning>& warnings) {
+json warnings_to_json(const std::vector<policy::server_warning>& warnings) {
     json rows = json::array();
-    for (const traffic::server_warning& warning : warnings)
+    for (const policy::server_warning& warning : warnings)
         rows.push_back({warning.server_id, warning.left.count()});
     return rows;
 }
 
-std::vector<traffic::server_warning> warnings_from(const json& rows) {
-    std::vector<traffic::server_warning> warnings;
+std::vector<policy::server_warning> warnings_from(const json& rows) {
+    std::vector<policy::server_warning> warnings;
     for (const json& row : bounded(rows))
         warnings.push_back(
             {row.at(0).get<std::string>(),
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/admission.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/admission.hpp
@@ -1,14 +1,14 @@
 /// @file
 /// Whether a request waits for room, and when a refused caller may come back.
-#ifndef MINTKNOT_RELAY_ADMISSION_HPP
-#define MINTKNOT_RELAY_ADMISSION_HPP
+#ifndef MINTKNOT_POLICY_ADMISSION_HPP
+#define MINTKNOT_POLICY_ADMISSION_HPP
 
 #include <mintknot/base/time.hpp>
 #include <mintknot/policy/room_forecast.hpp>
 
 #include <optional>
 
-namespace mintknot::relay {
+namespace mintknot::policy {
 
 /// The longest deadline that callers have named lately on one route: what a
 /// request brings that has not been refused before.
@@ -66,7 +66,7 @@
 
 /// What a refused caller is told by.
 struct return_terms {
-    traffic::room_forecast forecast;
+    policy::room_forecast forecast;
     std::optional<base::milliseconds> expected_wait;
     double tokens = 0.0;       ///< Memory that the request needs.
     std::size_t instances = 1; ///< That give out the same room.
@@ -79,6 +79,6 @@
     return_schedule& schedule, const return_terms& terms,
     base::steady_time now);
 
-} // namespace mintknot::relay
+} // namespace mintknot::policy
 
 #endif
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/domain.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/domain.hpp
@@ -1,14 +1,14 @@
 /// @file
 /// Which servers one scheduler looks after.
-#ifndef MINTKNOT_SCHEDULING_DOMAIN_HPP
-#define MINTKNOT_SCHEDULING_DOMAIN_HPP
+#ifndef MINTKNOT_POLICY_DOMAIN_HPP
+#define MINTKNOT_POLICY_DOMAIN_HPP
 
 #include <mintknot/traffic/server_table.hpp>
 
 #include <string>
 #include <vector>
 
-namespace mintknot::scheduling {
+namespace mintknot::policy {
 
 /// The servers of a service that one instance places requests on.
 struct domain {
@@ -34,6 +34,6 @@
 std::string
 scheduler_of(const domain& which, const std::vector<std::string>& hosts);
 
-} // namespace mintknot::scheduling
+} // namespace mintknot::policy
 
 #endif
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/drain.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/drain.hpp
@@ -1,14 +1,14 @@
 /// @file
 /// The steps of a planned stop.
-#ifndef MINTKNOT_RELAY_DRAIN_HPP
-#define MINTKNOT_RELAY_DRAIN_HPP
+#ifndef MINTKNOT_POLICY_DRAIN_HPP
+#define MINTKNOT_POLICY_DRAIN_HPP
 
 #include <mintknot/base/time.hpp>
 #include <mintknot/traffic/configuration.hpp>
 
 #include <cstddef>
 
-namespace mintknot::relay {
+namespace mintknot::policy {
 
 /// What an instance does while it stops. Later steps include earlier ones.
 enum class drain_step {
@@ -30,6 +30,6 @@
     const traffic::route& route, base::milliseconds since,
     base::milliseconds grace);
 
-} // namespace mintknot::relay
+} // namespace mintknot::policy
 
 #endif
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/lease.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/lease.hpp
@@ -1,14 +1,14 @@
 /// @file
 /// Who may give orders, as free functions over plain data.
-#ifndef MINTKNOT_ORDERS_LEASE_HPP
-#define MINTKNOT_ORDERS_LEASE_HPP
+#ifndef MINTKNOT_POLICY_LEASE_HPP
+#define MINTKNOT_POLICY_LEASE_HPP
 
 #include <mintknot/base/time.hpp>
 
 #include <cstdint>
 #include <string>
 
-namespace mintknot::orders {
+namespace mintknot::policy {
 
 /// Times of a lease.
 struct lease_terms {
@@ -52,6 +52,6 @@
 bool may_order(
     const held_lease& lease, const lease_terms& terms, base::steady_time now);
 
-} // namespace mintknot::orders
+} // namespace mintknot::policy
 
 #endif
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/phase_demand.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/phase_demand.hpp
@@ -1,11 +1,11 @@
 /// @file
 /// How much engine time requests take in each phase.
-#ifndef MINTKNOT_TRAFFIC_PHASE_DEMAND_HPP
-#define MINTKNOT_TRAFFIC_PHASE_DEMAND_HPP
+#ifndef MINTKNOT_POLICY_PHASE_DEMAND_HPP
+#define MINTKNOT_POLICY_PHASE_DEMAND_HPP
 
 #include <mintknot/base/time.hpp>
 
-namespace mintknot::traffic {
+namespace mintknot::policy {
 
 /// Sums over the requests of one service, weighed down with each new one.
 struct phase_demand {
@@ -56,6 +56,6 @@
 /// or 0 if too little was seen.
 double prefill_seconds(const phase_demand& demand);
 
-} // namespace mintknot::traffic
+} // namespace mintknot::policy
 
 #endif
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/phase_plan.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/phase_plan.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// How many engines of a service read prompts, and how many decode.
-#ifndef MINTKNOT_ORDERS_PHASE_PLAN_HPP
-#define MINTKNOT_ORDERS_PHASE_PLAN_HPP
+#ifndef MINTKNOT_POLICY_PHASE_PLAN_HPP
+#define MINTKNOT_POLICY_PHASE_PLAN_HPP
 
 #include <mintknot/policy/phase_demand.hpp>
 #include <mintknot/traffic/server_table.hpp>
@@ -10,7 +10,7 @@
 #include <optional>
 #include <string>
 
-namespace mintknot::orders {
+namespace mintknot::policy {
 
 /// One engine is to do something else from now on.
 struct phase_change {
@@ -28,7 +28,7 @@
 /// @return the share of engines that should read prompts: their part of the
 /// engine time that a request takes. Some requests of a common mix
 /// stands in until enough has been observed.
-double prefill_share(const traffic::phase_demand& demand);
+double prefill_share(const policy::phase_demand& demand);
 
 /// @param engines all that take requests.
 /// @param work what is in flight at an engine; of those that could change,
@@ -37,9 +37,9 @@
 /// near it, or as many are changing already as can be spared.
 std::optional<phase_change> plan_change(
     const std::vector<planned_engine>& engines,
-    const traffic::phase_demand& demand,
+    const policy::phase_demand& demand,
     const std::function<double(const traffic::server&)>& work);
 
-} // namespace mintknot::orders
+} // namespace mintknot::policy
 
 #endif
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/placement.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/placement.hpp
@@ -1,13 +1,13 @@
 /// @file
 /// Which servers one request goes to, chosen in one step.
-#ifndef MINTKNOT_TRAFFIC_PLACEMENT_HPP
-#define MINTKNOT_TRAFFIC_PLACEMENT_HPP
+#ifndef MINTKNOT_POLICY_PLACEMENT_HPP
+#define MINTKNOT_POLICY_PLACEMENT_HPP
 
 #include <mintknot/policy/selection.hpp>
 
 #include <string>
 
-namespace mintknot::traffic {
+namespace mintknot::policy {
 
 /// What a request needs servers for.
 enum class placement_kind {
@@ -45,8 +45,9 @@
 placement choose(const selection_inputs& inputs, const placement_query& query);
 
 /// @return the load of a placed request, as it is until its prompt is read.
-load_map placed_loads(const placement& placed, const placement_query& query);
+traffic::load_map
+placed_loads(const placement& placed, const placement_query& query);
 
-} // namespace mintknot::traffic
+} // namespace mintknot::policy
 
 #endif
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/retry_allowance.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/retry_allowance.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// How many repeated sends an instance may make for a service.
-#ifndef MINTKNOT_TRAFFIC_RETRY_ALLOWANCE_HPP
-#define MINTKNOT_TRAFFIC_RETRY_ALLOWANCE_HPP
+#ifndef MINTKNOT_POLICY_RETRY_ALLOWANCE_HPP
+#define MINTKNOT_POLICY_RETRY_ALLOWANCE_HPP
 
 #include <mintknot/base/time.hpp>
 
@@ -11,7 +11,7 @@
 #include <string>
 #include <unordered_map>
 
-namespace mintknot::traffic {
+namespace mintknot::policy {
 
 /// The bound that all instances together must keep: within any window, at
 /// most `ratio` repeats for each request, and `extra` on top.
@@ -80,6 +80,6 @@
     const retry_allowance& allowance, const retry_bounds& bounds,
     base::steady_time now);
 
-} // namespace mintknot::traffic
+} // namespace mintknot::policy
 
 #endif
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/room_forecast.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/room_forecast.hpp
@@ -1,14 +1,14 @@
 /// @file
 /// When a decode engine will have room for a request.
-#ifndef MINTKNOT_TRAFFIC_ROOM_FORECAST_HPP
-#define MINTKNOT_TRAFFIC_ROOM_FORECAST_HPP
+#ifndef MINTKNOT_POLICY_ROOM_FORECAST_HPP
+#define MINTKNOT_POLICY_ROOM_FORECAST_HPP
 
 #include <mintknot/base/time.hpp>
 
 #include <optional>
 #include <vector>
 
-namespace mintknot::traffic {
+namespace mintknot::policy {
 
 /// Memory of one decode engine, in tokens.
 struct engine_memory {
@@ -42,6 +42,6 @@
 std::optional<base::milliseconds>
 wait_behind(const room_forecast& forecast, double tokens_ahead);
 
-} // namespace mintknot::traffic
+} // namespace mintknot::policy
 
 #endif
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/selection.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/selection.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Which backend server gets a request.
-#ifndef MINTKNOT_TRAFFIC_SELECTION_HPP
-#define MINTKNOT_TRAFFIC_SELECTION_HPP
+#ifndef MINTKNOT_POLICY_SELECTION_HPP
+#define MINTKNOT_POLICY_SELECTION_HPP
 
 #include <mintknot/policy/room_forecast.hpp>
 #include <mintknot/policy/server_health.hpp>
@@ -14,7 +14,7 @@
 #include <string>
 #include <unordered_map>
 
-namespace mintknot::traffic {
+namespace mintknot::policy {
 
 /// How fast prefill engines have been seen to read, in tokens a millisecond.
 struct read_rates {
@@ -43,11 +43,11 @@
 
 /// Everything that a choice looks at. References must outlive the call.
 struct selection_inputs {
-    const server_table& servers;
-    const load_view& loads;
+    const traffic::server_table& servers;
+    const traffic::load_view& loads;
     const health_view& health;
     const read_rates& rates;
-    const service& target;
+    const traffic::service& target;
     std::string own_data_centre; ///< Of the instance that has the request.
     std::size_t instances = 1;   ///< How many share a server's connections.
     base::steady_time now;
@@ -63,11 +63,11 @@
 using excluded_servers = std::set<std::string>;
 
 /// @return a server of a plain service, or null if none takes requests.
-const server*
+const traffic::server*
 select_plain(const selection_inputs& inputs, const excluded_servers& excluded);
 
 /// @return the prefill engine that would be done first, or null.
-const server* select_prefill(
+const traffic::server* select_prefill(
     const selection_inputs& inputs, const excluded_servers& excluded,
     double prompt_tokens);
 
@@ -80,7 +80,7 @@
 
 /// @return the decode engine with the most room for the request, or null if
 /// none has enough.
-const server* select_decode(
+const traffic::server* select_decode(
     const selection_inputs& inputs, const excluded_servers& excluded,
     const decode_request& wanted);
 
@@ -97,8 +97,9 @@
 
 /// @return how long a prefill engine needs until it has read a prompt.
 base::milliseconds expected_read_time(
-    const selection_inputs& inputs, const server& engine, double prompt_tokens);
+    const selection_inputs& inputs, const traffic::server& engine,
+    double prompt_tokens);
 
-} // namespace mintknot::traffic
+} // namespace mintknot::policy
 
 #endif
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/server_health.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/server_health.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// What calls have shown of each backend server, and which ones to avoid.
-#ifndef MINTKNOT_TRAFFIC_SERVER_HEALTH_HPP
-#define MINTKNOT_TRAFFIC_SERVER_HEALTH_HPP
+#ifndef MINTKNOT_POLICY_SERVER_HEALTH_HPP
+#define MINTKNOT_POLICY_SERVER_HEALTH_HPP
 
 #include <mintknot/base/time.hpp>
 #include <mintknot/traffic/server_table.hpp>
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-namespace mintknot::traffic {
+namespace mintknot::policy {
 
 /// What became of one call, as far as it says something of the server.
 enum class call_result {
@@ -97,7 +97,7 @@
 /// @return how long ago the last call to any of the servers went well; zero if
 /// none ever did.
 base::milliseconds outage_age(
-    const health_view& view, const std::vector<const server*>& servers,
+    const health_view& view, const std::vector<const traffic::server*>& servers,
     base::steady_time now);
 
 /// @return until when this instance itself avoids a server, or the epoch.
@@ -115,6 +115,6 @@
 /// Drops what is known of a server.
 void forget(health_view& view, const std::string& id);
 
-} // namespace mintknot::traffic
+} // namespace mintknot::policy
 
 #endif
--- a/libs/mintknotd-platform/policy/src/admission.cpp
+++ b/libs/mintknotd-platform/policy/src/admission.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdint>
 
-namespace mintknot::relay {
+namespace mintknot::policy {
 
 namespace {
 
@@ -76,4 +76,4 @@
     return base::time_left(schedule.last, now);
 }
 
-} // namespace mintknot::relay
+} // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/src/domain.cpp
+++ b/libs/mintknotd-platform/policy/src/domain.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-namespace mintknot::scheduling {
+namespace mintknot::policy {
 
 namespace {
 
@@ -46,4 +46,4 @@
     return base::rendezvous(which.service + "/" + which.data_centre, hosts);
 }
 
-} // namespace mintknot::scheduling
+} // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/src/drain.cpp
+++ b/libs/mintknotd-platform/policy/src/drain.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace mintknot::relay {
+namespace mintknot::policy {
 
 namespace {
 
@@ -39,4 +39,4 @@
     return since + needed < grace - margin;
 }
 
-} // namespace mintknot::relay
+} // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/src/lease.cpp
+++ b/libs/mintknotd-platform/policy/src/lease.cpp
@@ -1,6 +1,6 @@
 #include <mintknot/policy/lease.hpp>
 
-namespace mintknot::orders {
+namespace mintknot::policy {
 
 void see(
     lease_view& view, std::uint64_t version, const std::string& holder,
@@ -28,4 +28,4 @@
     return lease.fence > 0 && now - lease.asked < terms.use;
 }
 
-} // namespace mintknot::orders
+} // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/src/phase_demand.cpp
+++ b/libs/mintknotd-platform/policy/src/phase_demand.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdint>
 
-namespace mintknot::traffic {
+namespace mintknot::policy {
 
 namespace {
 
@@ -92,4 +92,4 @@
            milliseconds_per_second;
 }
 
-} // namespace mintknot::traffic
+} // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/src/phase_plan.cpp
+++ b/libs/mintknotd-platform/policy/src/phase_plan.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <limits>
 
-namespace mintknot::orders {
+namespace mintknot::policy {
 
 namespace {
 
@@ -44,9 +44,9 @@
 
 } // namespace
 
-double prefill_share(const traffic::phase_demand& demand) {
+double prefill_share(const policy::phase_demand& demand) {
     const double prefill = common_prefill * common_requests +
-                           traffic::prefill_seconds(demand) * demand.requests;
+                           policy::prefill_seconds(demand) * demand.requests;
     const double decode =
         common_decode * common_requests + demand.decode_seconds;
     return prefill / (prefill + decode);
@@ -54,7 +54,7 @@
 
 std::optional<phase_change> plan_change(
     const std::vector<planned_engine>& engines,
-    const traffic::phase_demand& demand,
+    const policy::phase_demand& demand,
     const std::function<double(const traffic::server&)>& work) {
     const auto readers = static_cast<double>(std::count_if(
         engines.begin(), engines.end(), [](const planned_engine& engine) {
@@ -82,4 +82,4 @@
                                                   : engine_phase::prefill};
 }
 
-} // namespace mintknot::orders
+} // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/src/placement.cpp
+++ b/libs/mintknotd-platform/policy/src/placement.cpp
@@ -1,16 +1,17 @@
 #include <mintknot/policy/placement.hpp>
 
-namespace mintknot::traffic {
+namespace mintknot::policy {
 
 namespace {
 
 /// Part of a decode engine's memory that is given out.
 constexpr double free_share = 0.97;
 
-const server* choose_decode(
+const traffic::server* choose_decode(
     const selection_inputs& inputs, const placement_query& query,
     const decode_request& wanted) {
-    const server* chosen = select_decode(inputs, query.excluded, wanted);
+    const traffic::server* chosen =
+        select_decode(inputs, query.excluded, wanted);
     if (chosen == nullptr && query.may_return && !query.excluded.empty())
         chosen = select_decode(inputs, {}, wanted);
     return chosen;
@@ -18,11 +19,11 @@
 
 placement
 choose_plain(const selection_inputs& inputs, const placement_query& query) {
-    const server* chosen = select_plain(inputs, query.excluded);
+    const traffic::server* chosen = select_plain(inputs, query.excluded);
     if (chosen == nullptr)
         return {};
     if (query.kind == placement_kind::plain_with_room &&
-        total(inputs.loads, chosen->id).calls >= chosen->slots)
+        traffic::total(inputs.loads, chosen->id).calls >= chosen->slots)
         return {};
     placement result;
     result.server = chosen->id;
@@ -35,7 +36,7 @@
     if (query.kind == placement_kind::plain ||
         query.kind == placement_kind::plain_with_room)
         return choose_plain(inputs, query);
-    const server* prefill =
+    const traffic::server* prefill =
         query.kind == placement_kind::prefill_and_decode
             ? select_prefill(
                   inputs, query.excluded_prefill, query.prompt_tokens)
@@ -43,7 +44,7 @@
     const decode_request wanted{
         query.memory_tokens, free_share,
         prefill == nullptr ? std::string() : prefill->data_centre};
-    const server* decode = choose_decode(inputs, query, wanted);
+    const traffic::server* decode = choose_decode(inputs, query, wanted);
     placement result;
     if (decode == nullptr) {
         result.room = summarize_room(inputs, wanted);
@@ -54,13 +55,15 @@
         expected_read_time(inputs, *prefill, query.prompt_tokens) <
             query.read_limit) {
         result.prefill = prefill->id;
-        result.tokens_ahead = total(inputs.loads, prefill->id).prefill_tokens;
+        result.tokens_ahead =
+            traffic::total(inputs.loads, prefill->id).prefill_tokens;
     }
     return result;
 }
 
-load_map placed_loads(const placement& placed, const placement_query& query) {
-    load_map loads;
+traffic::load_map
+placed_loads(const placement& placed, const placement_query& query) {
+    traffic::load_map loads;
     if (placed.server.empty())
         return loads;
     loads[placed.server] = {1, 0.0, query.memory_tokens};
@@ -69,4 +72,4 @@
     return loads;
 }
 
-} // namespace mintknot::traffic
+} // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/src/retry_allowance.cpp
+++ b/libs/mintknotd-platform/policy/src/retry_allowance.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace mintknot::traffic {
+namespace mintknot::policy {
 
 namespace {
 
@@ -122,4 +122,4 @@
     return sum;
 }
 
-} // namespace mintknot::traffic
+} // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/src/room_forecast.cpp
+++ b/libs/mintknotd-platform/policy/src/room_forecast.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdint>
 
-namespace mintknot::traffic {
+namespace mintknot::policy {
 
 namespace {
 
@@ -57,4 +57,4 @@
     return *forecast.wait + time_for(tokens_ahead, forecast.release_rate);
 }
 
-} // namespace mintknot::traffic
+} // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/src/selection.cpp
+++ b/libs/mintknotd-platform/policy/src/selection.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <limits>
 
-namespace mintknot::traffic {
+namespace mintknot::policy {
 
 namespace {
 
@@ -36,32 +36,34 @@
 constexpr double prefill_failure_cost_ms = 400.0;
 
 /// Scores a server; lower is better, infinite if it cannot take the request.
-using score_function = std::function<double(const server&)>;
-using phase_test = bool (*)(engine_phase);
+using score_function = std::function<double(const traffic::server&)>;
+using phase_test = bool (*)(traffic::engine_phase);
 
 constexpr double impossible = std::numeric_limits<double>::infinity();
 
-bool connections_left(const selection_inputs& inputs, const server& candidate) {
+bool connections_left(
+    const selection_inputs& inputs, const traffic::server& candidate) {
     const std::size_t share = std::max<std::size_t>(
         2, inputs.target.most_connections /
                std::max<std::size_t>(inputs.instances, 1));
-    return static_cast<std::size_t>(own(inputs.loads, candidate.id).calls) <
-           share;
+    return static_cast<std::size_t>(
+               traffic::own(inputs.loads, candidate.id).calls) < share;
 }
 
-bool in_scope(const selection_inputs& inputs, const server& candidate) {
+bool in_scope(
+    const selection_inputs& inputs, const traffic::server& candidate) {
     return inputs.only_data_centre.empty() ||
            inputs.only_data_centre == candidate.data_centre;
 }
 
 /// @param drawn_share of the servers is looked at.
-const server* best_of_drawn(
+const traffic::server* best_of_drawn(
     const selection_inputs& inputs, const excluded_servers& excluded,
     const score_function& score, bool with_avoided, double drawn_share) {
-    const server* best = nullptr;
+    const traffic::server* best = nullptr;
     double lowest = impossible;
-    for (const server* candidate :
-         open_servers(inputs.servers, inputs.target.name)) {
+    for (const traffic::server* candidate :
+         traffic::open_servers(inputs.servers, inputs.target.name)) {
         if (drawn_share < 1.0 && inputs.draw() >= drawn_share)
             continue;
         if (excluded.contains(candidate->id) || !in_scope(inputs, *candidate))
@@ -82,14 +84,14 @@
 /// Among many servers, each instance draws a few and takes the best of them:
 /// if all looked at all, they would choose the same ones by loads that are a
 /// moment old.
-const server* best_of(
+const traffic::server* best_of(
     const selection_inputs& inputs, const excluded_servers& excluded,
     const score_function& score, bool with_avoided) {
     const std::size_t servers =
-        open_servers(inputs.servers, inputs.target.name).size();
-    if (servers > many_servers && !inputs.all_loads_known) {
+        traffic::open_servers(inputs.servers, inputs.target.name).size();
+    if (servers > traffic::many_servers && !inputs.all_loads_known) {
         const double share = drawn_servers / static_cast<double>(servers);
-        const server* drawn =
+        const traffic::server* drawn =
             best_of_drawn(inputs, excluded, score, with_avoided, share);
         if (drawn != nullptr)
             return drawn;
@@ -102,8 +104,8 @@
 bool any_trusted(
     const selection_inputs& inputs, const excluded_servers& excluded,
     const phase_test& suits) {
-    for (const server* candidate :
-         open_servers(inputs.servers, inputs.target.name))
+    for (const traffic::server* candidate :
+         traffic::open_servers(inputs.servers, inputs.target.name))
         if (suits(candidate->phase) && in_scope(inputs, *candidate) &&
             !excluded.contains(candidate->id) &&
             !avoided(inputs.health, candidate->id, inputs.now))
@@ -113,26 +115,26 @@
 
 /// Servers that are to be avoided are chosen only where there is no other,
 /// not where the others are merely full.
-const server* best_of(
+const traffic::server* best_of(
     const selection_inputs& inputs, const excluded_servers& excluded,
     const phase_test& suits, const score_function& score) {
     const bool with_avoided = !any_trusted(inputs, excluded, suits);
-    const score_function suited = [&](const server& candidate) {
+    const score_function suited = [&](const traffic::server& candidate) {
         return suits(candidate.phase) ? score(candidate) : impossible;
     };
     return best_of(inputs, excluded, suited, with_avoided);
 }
 
-bool any_phase(engine_phase) {
+bool any_phase(traffic::engine_phase) {
     return true;
 }
 
-bool prefill_phase(engine_phase phase) {
-    return phase == engine_phase::prefill;
+bool prefill_phase(traffic::engine_phase phase) {
+    return phase == traffic::engine_phase::prefill;
 }
 
-bool decode_phase(engine_phase phase) {
-    return phase != engine_phase::prefill;
+bool decode_phase(traffic::engine_phase phase) {
+    return phase != traffic::engine_phase::prefill;
 }
 
 } // namespace
@@ -180,11 +182,13 @@
     return std::max(rate, least_rate);
 }
 
-const server*
+const traffic::server*
 select_plain(const selection_inputs& inputs, const excluded_servers& excluded) {
     return best_of(
-        inputs, excluded, any_phase, [&inputs](const server& candidate) {
-            const server_load load = total(inputs.loads, candidate.id);
+        inputs, excluded, any_phase,
+        [&inputs](const traffic::server& candidate) {
+            const traffic::server_load load =
+                traffic::total(inputs.loads, candidate.id);
             double score =
                 static_cast<double>(load.calls) / std::max(candidate.slots, 1);
             if (candidate.data_centre != inputs.own_data_centre)
@@ -201,18 +205,18 @@
 }
 
 base::milliseconds expected_read_time(
-    const selection_inputs& inputs, const server& engine,
+    const selection_inputs& inputs, const traffic::server& engine,
     double prompt_tokens) {
-    const server_load load = total(inputs.loads, engine.id);
+    const traffic::server_load load = traffic::total(inputs.loads, engine.id);
     return read_time(
         inputs.rates, engine.id, load.prefill_tokens + prompt_tokens);
 }
 
-const server* select_prefill(
+const traffic::server* select_prefill(
     const selection_inputs& inputs, const excluded_servers& excluded,
     double prompt_tokens) {
     return best_of(
-        inputs, excluded, prefill_phase, [&](const server& candidate) {
+        inputs, excluded, prefill_phase, [&](const traffic::server& candidate) {
             double score = static_cast<double>(
                 expected_read_time(inputs, candidate, prompt_tokens).count());
             if (candidate.data_centre != inputs.own_data_centre)
@@ -223,7 +227,7 @@
         });
 }
 
-const server* select_decode(
+const traffic::server* select_decode(
     const selection_inputs& inputs, const excluded_servers& excluded,
     const decode_request& wanted) {
     const double memory =
@@ -231,8 +235,9 @@
             ? static_cast<double>(inputs.target.engine->memory_tokens)
             : 0.0;
     return best_of(
-        inputs, excluded, decode_phase, [&](const server& candidate) {
-            const server_load load = total(inputs.loads, candidate.id);
+        inputs, excluded, decode_phase, [&](const traffic::server& candidate) {
+            const traffic::server_load load =
+                traffic::total(inputs.loads, candidate.id);
             if (load.calls >= candidate.slots)
                 return impossible;
             const double after = load.memory_tokens + wanted.memory_tokens;
@@ -256,12 +261,13 @@
     std::vector<engine_memory> memories;
     const auto memory = static_cast<double>(
         inputs.target.engine ? inputs.target.engine->memory_tokens : 0);
-    for (const server* engine :
-         open_servers(inputs.servers, inputs.target.name)) {
+    for (const traffic::server* engine :
+         traffic::open_servers(inputs.servers, inputs.target.name)) {
         if (!decode_phase(engine->phase) || !in_scope(inputs, *engine))
             continue;
         ++summary.engines;
-        const double held = total(inputs.loads, engine->id).memory_tokens;
+        const double held =
+            traffic::total(inputs.loads, engine->id).memory_tokens;
         memories.push_back(
             {memory * wanted.memory_share - held, held,
              avoided_for(inputs.health, engine->id, inputs.now)});
@@ -275,4 +281,4 @@
     return summary;
 }
 
-} // namespace mintknot::traffic
+} // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/src/server_health.cpp
+++ b/libs/mintknotd-platform/policy/src/server_health.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace mintknot::traffic {
+namespace mintknot::policy {
 
 namespace {
 
@@ -221,10 +221,10 @@
 }
 
 base::milliseconds outage_age(
-    const health_view& view, const std::vector<const server*>& servers,
+    const health_view& view, const std::vector<const traffic::server*>& servers,
     base::steady_time now) {
     base::steady_time last_good{};
-    for (const server* known : servers) {
+    for (const traffic::server* known : servers) {
         const auto found = view.own.find(known->id);
         if (found != view.own.end())
             last_good = std::max(last_good, found->second.good_at);
@@ -251,4 +251,4 @@
     view.peers_ordered_until.erase(id);
 }
 
-} // namespace mintknot::traffic
+} // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/tests/test_domain.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_domain.cpp
@@ -4,7 +4,7 @@
 #include <fmt/format.h>
 
 using namespace mintknot;
-using namespace mintknot::scheduling;
+using namespace mintknot::policy;
 
 namespace {
 
--- a/libs/mintknotd-platform/policy/tests/test_phase_demand.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_phase_demand.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 
 using namespace mintknot;
-using namespace mintknot::traffic;
+using namespace mintknot::policy;
 
 Test(phase_demand, what_every_read_takes_besides_is_not_engine_time) {
     phase_demand demand;
--- a/libs/mintknotd-platform/policy/tests/test_phase_plan.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_phase_plan.cpp
@@ -5,7 +5,7 @@
 #include <list>
 
 using namespace mintknot;
-using namespace mintknot::orders;
+using namespace mintknot::policy;
 
 namespace {
 
@@ -28,16 +28,16 @@
     }
     std::list<traffic::server> servers;
     std::vector<planned_engine> planned;
-    traffic::phase_demand demand;
+    policy::phase_demand demand;
 };
 
 /// Demand of requests that take this much engine time.
-traffic::phase_demand demand_of(int prefill_ms, double decode_seconds) {
-    traffic::phase_demand demand;
+policy::phase_demand demand_of(int prefill_ms, double decode_seconds) {
+    policy::phase_demand demand;
     for (int i = 0; i < 300; ++i) {
-        traffic::note_read_alone(
+        policy::note_read_alone(
             demand, 1000 + i % 2, base::milliseconds(prefill_ms));
-        traffic::note_decode(demand, decode_seconds, base::milliseconds(1000));
+        policy::note_decode(demand, decode_seconds, base::milliseconds(1000));
     }
     return demand;
 }
--- a/libs/mintknotd-platform/policy/tests/test_retry_allowance.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_retry_allowance.cpp
@@ -3,7 +3,7 @@
 #include <criterion/criterion.h>
 
 using namespace mintknot;
-using namespace mintknot::traffic;
+using namespace mintknot::policy;
 
 namespace {
 
--- a/libs/mintknotd-platform/policy/tests/test_room_forecast.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_room_forecast.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 
 using namespace mintknot;
-using namespace mintknot::traffic;
+using namespace mintknot::policy;
 
 namespace {
 
--- a/libs/mintknotd-platform/policy/tests/test_selection.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_selection.cpp
@@ -6,7 +6,7 @@
 #include <set>
 
 using namespace mintknot;
-using namespace mintknot::traffic;
+using namespace mintknot::policy;
 
 namespace {
 
@@ -17,12 +17,12 @@
     small_pool() {
         target.name = "llm";
         target.most_connections = 1000;
-        target.engine = engine_spec{10000, base::milliseconds(500)};
+        target.engine = traffic::engine_spec{10000, base::milliseconds(500)};
     }
     void add_server(
-        const std::string& id, engine_phase phase,
+        const std::string& id, traffic::engine_phase phase,
         const std::string& data_centre = "a") {
-        server value;
+        traffic::server value;
         value.id = id;
         value.service = "llm";
         value.data_centre = data_centre;
@@ -35,15 +35,15 @@
                 [] { return 0.5; }};
     }
 
-    server_table servers;
-    load_view loads;
+    traffic::server_table servers;
+    traffic::load_view loads;
     health_view health;
     read_rates rates;
-    service target;
+    traffic::service target;
     std::uint64_t version = 0;
 };
 
-std::string name_of(const server* chosen) {
+std::string name_of(const traffic::server* chosen) {
     return chosen == nullptr ? "none" : chosen->id;
 }
 
@@ -51,8 +51,8 @@
 
 Test(selection, decode_takes_the_engine_with_most_room) {
     small_pool pool;
-    pool.add_server("d1", engine_phase::decode);
-    pool.add_server("d2", engine_phase::decode);
+    pool.add_server("d1", traffic::engine_phase::decode);
+    pool.add_server("d2", traffic::engine_phase::decode);
     add(pool.loads, "d1", {1, 0.0, 5000.0});
     cr_assert(
         name_of(select_decode(pool.inputs(), {}, {3000.0, 1.0, ""})) == "d2");
@@ -60,22 +60,22 @@
 
 Test(selection, decode_without_room_is_none) {
     small_pool pool;
-    pool.add_server("d1", engine_phase::decode);
+    pool.add_server("d1", traffic::engine_phase::decode);
     add(pool.loads, "d1", {1, 0.0, 8000.0});
     cr_assert(select_decode(pool.inputs(), {}, {3000.0, 1.0, ""}) == nullptr);
 }
 
 Test(selection, a_request_larger_than_a_share_goes_to_an_empty_engine) {
     small_pool pool;
-    pool.add_server("d1", engine_phase::decode);
+    pool.add_server("d1", traffic::engine_phase::decode);
     cr_assert(
         name_of(select_decode(pool.inputs(), {}, {9900.0, 0.9, ""})) == "d1");
 }
 
 Test(selection, phases_are_kept_apart) {
     small_pool pool;
-    pool.add_server("p", engine_phase::prefill);
-    pool.add_server("d", engine_phase::decode);
+    pool.add_server("p", traffic::engine_phase::prefill);
+    pool.add_server("d", traffic::engine_phase::decode);
     cr_assert(name_of(select_prefill(pool.inputs(), {}, 100.0)) == "p");
     cr_assert(name_of(select_decode(pool.inputs(), {}, {1.0, 1.0, ""})) == "d");
     cr_assert(select_prefill(pool.inputs(), {"p"}, 100.0) == nullptr);
@@ -83,8 +83,8 @@
 
 Test(selection, prefill_takes_the_engine_that_is_done_first) {
     small_pool pool;
-    pool.add_server("p1", engine_phase::prefill);
-    pool.add_server("p2", engine_phase::prefill);
+    pool.add_server("p1", traffic::engine_phase::prefill);
+    pool.add_server("p2", traffic::engine_phase::prefill);
     add(pool.loads, "p1", {1, 6000.0, 0.0});
     cr_assert(name_of(select_prefill(pool.inputs(), {}, 100.0)) == "p2");
     // A slow engine is avoided although nothing waits there.
@@ -95,8 +95,8 @@
 
 Test(selection, an_avoided_server_is_not_chosen_because_others_are_full) {
     small_pool pool;
-    pool.add_server("d1", engine_phase::decode);
-    pool.add_server("d2", engine_phase::decode);
+    pool.add_server("d1", traffic::engine_phase::decode);
+    pool.add_server("d2", traffic::engine_phase::decode);
     add(pool.loads, "d1", {1, 0.0, 9900.0});
     note(pool.health, "d2", call_result::unreachable, start);
     cr_assert(select_decode(pool.inputs(), {}, {3000.0, 1.0, ""}) == nullptr);
@@ -104,8 +104,8 @@
 
 Test(selection, room_at_an_avoided_engine_is_foreseen) {
     small_pool pool;
-    pool.add_server("d1", engine_phase::decode);
-    pool.add_server("d2", engine_phase::decode);
+    pool.add_server("d1", traffic::engine_phase::decode);
+    pool.add_server("d2", traffic::engine_phase::decode);
     add(pool.loads, "d1", {1, 0.0, 9900.0});
     warn(pool.health, "d2", start + std::chrono::milliseconds(300), start);
     selection_inputs inputs = pool.inputs();
@@ -117,7 +117,7 @@
 
 Test(selection, an_avoided_server_is_better_than_none) {
     small_pool pool;
-    pool.add_server("d1", engine_phase::decode);
+    pool.add_server("d1", traffic::engine_phase::decode);
     note(pool.health, "d1", call_result::unreachable, start);
     cr_assert(
         name_of(select_decode(pool.inputs(), {}, {10.0, 1.0, ""})) == "d1");
@@ -126,8 +126,8 @@
 Test(selection, plain_prefers_its_own_data_centre_until_it_is_busy) {
     small_pool pool;
     pool.target.engine.reset();
-    pool.add_server("near", engine_phase::none, "a");
-    pool.add_server("far", engine_phase::none, "b");
+    pool.add_server("near", traffic::engine_phase::none, "a");
+    pool.add_server("far", traffic::engine_phase::none, "b");
     cr_assert(name_of(select_plain(pool.inputs(), {})) == "near");
     add(pool.loads, "near", {40, 0.0, 0.0});
     cr_assert(name_of(select_plain(pool.inputs(), {})) == "far");
@@ -135,8 +135,8 @@
 
 Test(selection, decode_prefers_its_own_data_centre_until_it_is_fuller) {
     small_pool pool;
-    pool.add_server("near", engine_phase::decode, "a");
-    pool.add_server("far", engine_phase::decode, "b");
+    pool.add_server("near", traffic::engine_phase::decode, "a");
+    pool.add_server("far", traffic::engine_phase::decode, "b");
     add(pool.loads, "near", {1, 0.0, 2000.0});
     cr_assert(
         name_of(select_decode(pool.inputs(), {}, {100.0, 1.0, ""})) == "near");
@@ -148,7 +148,7 @@
 Test(selection, connections_are_shared_among_instances) {
     small_pool pool;
     pool.target.most_connections = 8;
-    pool.add_server("s", engine_phase::none);
+    pool.add_server("s", traffic::engine_phase::none);
     cr_assert(name_of(select_plain(pool.inputs(), {})) == "s");
     add(pool.loads, "s", {2, 0.0, 0.0});
     cr_assert(select_plain(pool.inputs(), {}) == nullptr);
@@ -160,7 +160,7 @@
     small_pool pool;
     for (int i = 0; i < 60; ++i) {
         const std::string id = "d" + std::to_string(i);
-        pool.add_server(id, engine_phase::decode);
+        pool.add_server(id, traffic::engine_phase::decode);
         add(pool.loads, id, {1, 0.0, 100.0 * i});
     }
     std::minstd_rand random(7);
@@ -179,7 +179,7 @@
     small_pool pool;
     for (int i = 0; i < 60; ++i) {
         const std::string id = "d" + std::to_string(i);
-        pool.add_server(id, engine_phase::decode);
+        pool.add_server(id, traffic::engine_phase::decode);
         if (i != 30)
             add(pool.loads, id, {1, 0.0, 9990.0});
     }
--- a/libs/mintknotd-platform/policy/tests/test_server_health.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_server_health.cpp
@@ -3,7 +3,7 @@
 #include <criterion/criterion.h>
 
 using namespace mintknot;
-using namespace mintknot::traffic;
+using namespace mintknot::policy;
 
 namespace {
 const base::steady_time start = base::steady_time{} + std::chrono::hours(1);
@@ -108,11 +108,11 @@
 
 Test(server_health, an_outage_is_as_old_as_the_last_good_call) {
     health_view view;
-    server first;
+    traffic::server first;
     first.id = "a";
-    server second;
+    traffic::server second;
     second.id = "b";
-    const std::vector<const server*> servers{&first, &second};
+    const std::vector<const traffic::server*> servers{&first, &second};
     cr_assert(outage_age(view, servers, start) == base::milliseconds{0});
     note(view, "a", call_result::good, start);
     note(view, "b", call_result::good, start + seconds(1));
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/exchange.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/exchange.hpp
@@ -59,7 +59,7 @@
 protected:
     exchange(
         router& owner, answer_sink& sink, caller_request request,
-        std::shared_ptr<const traffic::catalogue> config,
+        std::shared_ptr<const traffic::configuration> config,
         const traffic::route& route, const traffic::service& service);
 
     virtual void run() = 0;
@@ -98,7 +98,7 @@
     router& owner_;
     answer_sink& sink_;
     caller_request request_;
-    std::shared_ptr<const traffic::catalogue> config_;
+    std::shared_ptr<const traffic::configuration> config_;
     const traffic::route& route_;
     const traffic::service& service_;
     base::verdict verdict_ = base::verdict::not_run;
@@ -120,7 +120,7 @@
 /// @return an exchange for a request of the route.
 std::unique_ptr<exchange> make_exchange(
     router& owner, answer_sink& sink, caller_request request,
-    const std::shared_ptr<const traffic::catalogue>& config,
+    const std::shared_ptr<const traffic::configuration>& config,
     const traffic::route& route, const traffic::service& service);
 
 /// @return the answer to a request that no exchange was made for.
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/placer.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/placer.hpp
@@ -16,7 +16,7 @@
     virtual ~placement_ticket() = default;
 };
 
-using placement_handler = std::function<void(const traffic::placement&)>;
+using placement_handler = std::function<void(const policy::placement&)>;
 
 /// Chooses servers for requests, perhaps by asking other instances.
 class placer {
@@ -30,7 +30,7 @@
     /// Asks for servers. `then` is called once, not from within and not after
     /// the ticket has gone; an empty placement says that there is no room.
     virtual std::unique_ptr<placement_ticket>
-    ask(traffic::placement_query query, placement_handler then) = 0;
+    ask(policy::placement_query query, placement_handler then) = 0;
 };
 
 } // namespace mintknot::relay
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/relay_metrics.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/relay_metrics.hpp
@@ -29,7 +29,7 @@
     relay_metrics& operator=(const relay_metrics&) = delete;
 
     void count_request(const finished_request& request);
-    void count_call(traffic::call_result result);
+    void count_call(policy::call_result result);
     void count_repeat(std::string_view reason);
     void set_gauge(std::string_view name, double value);
 
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
@@ -42,7 +42,7 @@
 /// What a peer has last told of its retries. What an earlier life of it, or
 /// one that is silent now, has spent counts until the window has passed.
 struct peer_usage {
-    traffic::usage_map by_service;
+    policy::usage_map by_service;
     base::steady_time heard;
 };
 
@@ -57,14 +57,14 @@
 
 /// What is believed at present. Changed only on the loop's thread.
 struct router_state {
-    std::shared_ptr<const traffic::catalogue> config; ///< Null at first.
+    std::shared_ptr<const traffic::configuration> config; ///< Null at first.
     traffic::server_table servers;
     traffic::load_view loads;
-    traffic::health_view health;
-    traffic::read_rates rates;
-    std::unordered_map<std::string, traffic::phase_demand> demands;
-    std::unordered_map<std::string, traffic::retry_allowance> allowances;
-    traffic::retry_bounds retry_bounds;
+    policy::health_view health;
+    policy::read_rates rates;
+    std::unordered_map<std::string, policy::phase_demand> demands;
+    std::unordered_map<std::string, policy::retry_allowance> allowances;
+    policy::retry_bounds retry_bounds;
     peer_usages retries_of_peers;
     std::size_t instances = 1;   ///< How many instances there may be.
     base::steady_time started{}; ///< Of this instance.
@@ -73,8 +73,10 @@
     bool stopping = false;
     base::steady_time stop_began{}; ///< With `stopping`.
     base::milliseconds grace{8000}; ///< From then on.
-    std::unordered_map<std::string, longest_deadline> deadlines; ///< By route.
-    std::unordered_map<std::string, return_schedule> returns; ///< By service.
+    std::unordered_map<std::string, policy::longest_deadline>
+        deadlines; ///< By route.
+    std::unordered_map<std::string, policy::return_schedule>
+        returns; ///< By service.
     std::unordered_map<std::string, peer_waiting>
         waiting_of_peers; ///< By host.
     /// Called when own loads or health have changed.
@@ -113,16 +115,16 @@
 
 /// Takes the result of a call; logs when a server is avoided from now on.
 void note_result(
-    router& owner, const std::string& server_id, traffic::call_result result,
+    router& owner, const std::string& server_id, policy::call_result result,
     const std::string& request_id);
 
 /// Takes what a peer tells of its retries, and forgets what is long past.
 void note_retries(
     router_state& state, const std::string& peer, std::uint64_t incarnation,
-    const traffic::usage_map& usage, base::steady_time now);
+    const policy::usage_map& usage, base::steady_time now);
 
 /// @return what peers have used of a service's retry bound.
-traffic::fleet_usage fleet_usage_of(
+policy::fleet_usage fleet_usage_of(
     const router_state& state, const std::string& service,
     base::steady_time now);
 
@@ -151,10 +153,10 @@
 /// null where `then` has been called already.
 std::unique_ptr<placement_ticket> place_request(
     router& owner, const traffic::service& target,
-    traffic::placement_query query, const placement_handler& then);
+    policy::placement_query query, const placement_handler& then);
 
 /// @return the inputs of a selection, valid while the router is not changed.
-traffic::selection_inputs
+policy::selection_inputs
 selection_for(router& owner, const traffic::service& target);
 
 } // namespace mintknot::relay
--- a/libs/mintknotd-platform/relay/src/caller_session.cpp
+++ b/libs/mintknotd-platform/relay/src/caller_session.cpp
@@ -202,7 +202,7 @@
         return;
     }
     if (owner_.state.stopping &&
-        !may_begin(*route, since_stop(), owner_.state.grace)) {
+        !policy::may_begin(*route, since_stop(), owner_.state.grace)) {
         answer(503, "stopping", come_back);
         return;
     }
--- a/libs/mintknotd-platform/relay/src/exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/exchange.cpp
@@ -25,7 +25,7 @@
 
 exchange::exchange(
     router& owner, answer_sink& sink, caller_request request,
-    std::shared_ptr<const traffic::catalogue> config,
+    std::shared_ptr<const traffic::configuration> config,
     const traffic::route& route, const traffic::service& service)
     : owner_(owner)
     , sink_(sink)
@@ -47,11 +47,11 @@
 }
 
 void exchange::start() {
-    traffic::earn(
+    policy::earn(
         owner_.state.allowances[service_.name], owner_.state.retry_bounds,
         owner_.loop.now());
     if (request_.terms.deadline)
-        note_deadline(
+        policy::note_deadline(
             owner_.state.deadlines[route_.name], *request_.terms.deadline,
             owner_.loop.now());
     deadline_timer_.start(deadline_, [this] { on_deadline(); });
@@ -140,7 +140,7 @@
 bool exchange::returned() const {
     const auto found = owner_.state.deadlines.find(route_.name);
     return found != owner_.state.deadlines.end() &&
-           has_returned(found->second, request_.terms.deadline);
+           policy::has_returned(found->second, request_.terms.deadline);
 }
 
 void exchange::end_answer(std::string_view outcome) {
@@ -200,7 +200,7 @@
 
 std::unique_ptr<exchange> make_exchange(
     router& owner, answer_sink& sink, caller_request request,
-    const std::shared_ptr<const traffic::catalogue>& config,
+    const std::shared_ptr<const traffic::configuration>& config,
     const traffic::route& route, const traffic::service& service) {
     if (service.engine && route.kind == traffic::route_kind::streaming)
         return std::make_unique<generation_exchange>(
--- a/libs/mintknotd-platform/relay/src/generation_decode.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_decode.cpp
@@ -121,10 +121,10 @@
     const auto since = [now](base::steady_time when) {
         return std::chrono::duration_cast<base::milliseconds>(now - when);
     };
-    traffic::phase_demand& demand = owner_.state.demands[service_.name];
-    traffic::note_start(demand, since(placed_at_));
+    policy::phase_demand& demand = owner_.state.demands[service_.name];
+    policy::note_start(demand, since(placed_at_));
     if (took_result_)
-        traffic::note_hand_over(demand, since(decode_started_));
+        policy::note_hand_over(demand, since(decode_started_));
 }
 
 void generation_exchange::drained() {
@@ -141,7 +141,7 @@
         pass_on(splitter_.rest);
         splitter_.rest.clear();
         note_result(
-            owner_, decode_server_, traffic::call_result::good,
+            owner_, decode_server_, policy::call_result::good,
             request_.terms.id);
         note_demand();
         decode_call_.reset();
@@ -159,12 +159,11 @@
     }
     raise(base::verdict::ran);
     if (may_resume()) {
-        go_on_elsewhere(traffic::call_result::failed, "decode_failed");
+        go_on_elsewhere(policy::call_result::failed, "decode_failed");
         return;
     }
     note_result(
-        owner_, decode_server_, traffic::call_result::failed,
-        request_.terms.id);
+        owner_, decode_server_, policy::call_result::failed, request_.terms.id);
     release_decode();
     if (head_sent_)
         break_answer("decode_failed");
@@ -178,7 +177,7 @@
     const auto memory = static_cast<double>(service_.engine->memory_tokens);
     if (memory <= 0.0)
         return;
-    traffic::note_decode(
+    policy::note_decode(
         owner_.state.demands[service_.name], decode_reserved_ / memory,
         std::chrono::duration_cast<base::milliseconds>(
             owner_.loop.now() - decode_started_));
@@ -190,8 +189,8 @@
     const bool misdirected = answer_.status == status_misdirected;
     note_result(
         owner_, decode_server_,
-        misdirected ? traffic::call_result::misdirected
-                    : traffic::call_result::rejected,
+        misdirected ? policy::call_result::misdirected
+                    : policy::call_result::rejected,
         request_.terms.id);
     owner_.log.write(
         "decode_rejected", {{"request", request_.terms.id},
@@ -224,7 +223,7 @@
         --sends_;
         --arrivals_;
         note_result(
-            owner_, decode_server_, traffic::call_result::unreachable,
+            owner_, decode_server_, policy::call_result::unreachable,
             request_.terms.id);
         release_decode();
         if (++unreachable_ > most_unreachable)
@@ -234,7 +233,7 @@
         return;
     }
     raise(base::verdict::may_have_run);
-    go_on_elsewhere(traffic::call_result::failed, "decode_broke_off");
+    go_on_elsewhere(policy::call_result::failed, "decode_broke_off");
 }
 
 void generation_exchange::on_decode_silence() {
@@ -242,14 +241,14 @@
     // request may go on elsewhere.
     if (!may_resume() || !prepay(1)) {
         note_result(
-            owner_, decode_server_, traffic::call_result::silent,
+            owner_, decode_server_, policy::call_result::silent,
             request_.terms.id);
         return;
     }
     raise(base::verdict::may_have_run);
     // The engine drops the request when its connection closes.
     decode_call_.reset();
-    go_on_elsewhere(traffic::call_result::silent, "decode_silent");
+    go_on_elsewhere(policy::call_result::silent, "decode_silent");
 }
 
 bool generation_exchange::may_resume() const {
@@ -257,7 +256,7 @@
 }
 
 void generation_exchange::go_on_elsewhere(
-    traffic::call_result result, std::string_view reason) {
+    policy::call_result result, std::string_view reason) {
     note_result(owner_, decode_server_, result, request_.terms.id);
     release_decode();
     if (!may_resume()) {
--- a/libs/mintknotd-platform/relay/src/generation_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_exchange.cpp
@@ -24,7 +24,7 @@
 
 generation_exchange::generation_exchange(
     router& owner, answer_sink& sink, caller_request request,
-    std::shared_ptr<const traffic::catalogue> config,
+    std::shared_ptr<const traffic::configuration> config,
     const traffic::route& route, const traffic::service& service)
     : exchange(
           owner, sink, std::move(request), std::move(config), route, service)
@@ -69,18 +69,18 @@
 base::milliseconds generation_exchange::read_limit() const {
     const base::milliseconds left =
         route_.target_latency - since_arrival() -
-        traffic::mean_hand_over(owner_.state.demands[service_.name]);
+        policy::mean_hand_over(owner_.state.demands[service_.name]);
     // What is late in any case need not slow a decode engine down.
     return left > base::milliseconds{0} ? left : route_.target_latency;
 }
 
-traffic::placement_query generation_exchange::query() const {
+policy::placement_query generation_exchange::query() const {
     const bool reads_apart =
         prefills_ < most_prefills && !result_usable() && rejected_ <= 1;
-    traffic::placement_query wanted;
+    policy::placement_query wanted;
     wanted.service = service_.name;
-    wanted.kind = reads_apart ? traffic::placement_kind::prefill_and_decode
-                              : traffic::placement_kind::decode;
+    wanted.kind = reads_apart ? policy::placement_kind::prefill_and_decode
+                              : policy::placement_kind::decode;
     wanted.prompt_tokens = request_.terms.prompt_tokens;
     wanted.memory_tokens = memory_needed();
     wanted.read_limit = read_limit();
@@ -94,14 +94,14 @@
     release_decode();
     placement_ = place_request(
         owner_, service_, query(),
-        [this](const traffic::placement& placed) { on_placed(placed); });
+        [this](const policy::placement& placed) { on_placed(placed); });
 }
 
-void generation_exchange::on_placed(const traffic::placement& placed) {
+void generation_exchange::on_placed(const policy::placement& placed) {
     const traffic::server* decode =
         traffic::find(owner_.state.servers, placed.server);
     if (decode == nullptr || decode->draining) {
-        traffic::room_summary seen = placed.room;
+        policy::room_summary seen = placed.room;
         // A scheduler that does not know yet that the engine leaves will name
         // another one shortly.
         if (!placed.server.empty())
@@ -144,14 +144,14 @@
     return first_is_free || prepay(calls - 1);
 }
 
-void generation_exchange::wait_for_room(const traffic::room_summary& seen) {
+void generation_exchange::wait_for_room(const policy::room_summary& seen) {
     const auto expected = expected_wait(seen.forecast);
     const base::milliseconds start =
-        traffic::mean_start(owner_.state.demands[service_.name]);
-    const unplaced_request unplaced = describe_unplaced();
+        policy::mean_start(owner_.state.demands[service_.name]);
+    const policy::unplaced_request unplaced = describe_unplaced();
     // A stream that has begun is worth waiting for, whatever is foreseen.
-    if (head_sent_ || should_wait(unplaced, expected, start)) {
-        join_queue(!can_meet_target(unplaced, expected, start));
+    if (head_sent_ || policy::should_wait(unplaced, expected, start)) {
+        join_queue(!policy::can_meet_target(unplaced, expected, start));
         return;
     }
     log_room(seen, expected);
@@ -159,17 +159,17 @@
 }
 
 void generation_exchange::wait_for_connection() {
-    const unplaced_request unplaced = describe_unplaced();
-    if (head_sent_ ||
-        should_wait(unplaced, unreachable_pause, base::milliseconds{0})) {
+    const policy::unplaced_request unplaced = describe_unplaced();
+    if (head_sent_ || policy::should_wait(
+                          unplaced, unreachable_pause, base::milliseconds{0})) {
         wait_timer_.start(unreachable_pause, [this] { place(); });
         return;
     }
     give_up("server_unreachable", return_after_outage(owner_, service_.name));
 }
 
-unplaced_request generation_exchange::describe_unplaced() const {
-    unplaced_request unplaced;
+policy::unplaced_request generation_exchange::describe_unplaced() const {
+    policy::unplaced_request unplaced;
     unplaced.waited = since_arrival();
     unplaced.target = route_.target_latency;
     unplaced.time_left = time_left();
@@ -182,11 +182,11 @@
 }
 
 std::optional<base::milliseconds> generation_exchange::expected_wait(
-    const traffic::room_forecast& forecast) const {
+    const policy::room_forecast& forecast) const {
     const double ahead =
         owner_.queue.tokens_ahead(service_.name, rank(false)) +
         tokens_ahead_elsewhere(owner_.state, service_.name, owner_.loop.now());
-    return traffic::wait_behind(forecast, ahead);
+    return policy::wait_behind(forecast, ahead);
 }
 
 void generation_exchange::join_queue(bool late) {
@@ -195,16 +195,16 @@
 }
 
 base::milliseconds generation_exchange::come_back(
-    const traffic::room_forecast& forecast,
+    const policy::room_forecast& forecast,
     std::optional<base::milliseconds> expected) {
-    return schedule_return(
+    return policy::schedule_return(
         owner_.state.returns[service_.name],
         {forecast, expected, memory_needed(), owner_.state.instances},
         owner_.loop.now());
 }
 
 void generation_exchange::log_room(
-    const traffic::room_summary& room,
+    const policy::room_summary& room,
     std::optional<base::milliseconds> expected) {
     owner_.log.write(
         "no_room",
--- a/libs/mintknotd-platform/relay/src/generation_exchange.hpp
+++ b/libs/mintknotd-platform/relay/src/generation_exchange.hpp
@@ -16,7 +16,7 @@
 public:
     generation_exchange(
         router& owner, answer_sink& sink, caller_request request,
-        std::shared_ptr<const traffic::catalogue> config,
+        std::shared_ptr<const traffic::configuration> config,
         const traffic::route& route, const traffic::service& service);
     ~generation_exchange() override;
 
@@ -36,7 +36,7 @@
     bool may_be_running() const override;
 
     /// What the request needs now.
-    traffic::placement_query query() const;
+    policy::placement_query query() const;
     /// @return how long a prefill engine may take. A decode engine that reads a
     /// prompt slows all its streams down: it does so only where a prefill
     /// engine would miss the target. Against half of the target it raised worth
@@ -44,23 +44,23 @@
     base::milliseconds read_limit() const;
     /// Places the request, or joins the queue.
     void place();
-    void on_placed(const traffic::placement& placed);
+    void on_placed(const policy::placement& placed);
     /// @param seen by the last choice.
-    void wait_for_room(const traffic::room_summary& seen);
+    void wait_for_room(const policy::room_summary& seen);
     /// Engines are there, but too many connections have failed in a row.
     void wait_for_connection();
-    unplaced_request describe_unplaced() const;
+    policy::unplaced_request describe_unplaced() const;
     queue_rank rank(bool late) const;
     /// @return the wait behind all that go before.
     std::optional<base::milliseconds>
-    expected_wait(const traffic::room_forecast& forecast) const;
+    expected_wait(const policy::room_forecast& forecast) const;
     void join_queue(bool late);
     /// @return what a refusal tells the caller.
     base::milliseconds come_back(
-        const traffic::room_forecast& forecast,
+        const policy::room_forecast& forecast,
         std::optional<base::milliseconds> expected);
     void log_room(
-        const traffic::room_summary& seen,
+        const policy::room_summary& seen,
         std::optional<base::milliseconds> expected);
     /// @return true if a kept result can still be handed over.
     bool result_usable() const;
@@ -80,7 +80,7 @@
     void on_prefill_failure(upstream::call_failure why);
     void on_prefill_silence();
     void
-    after_failed_prefill(traffic::call_result result, std::string_view reason);
+    after_failed_prefill(policy::call_result result, std::string_view reason);
     void end_prefill();
 
     void start_decode();
@@ -93,7 +93,7 @@
     void watch_silence();
     /// Tells how much of the engine a finished decode has taken.
     void note_demand();
-    void go_on_elsewhere(traffic::call_result result, std::string_view reason);
+    void go_on_elsewhere(policy::call_result result, std::string_view reason);
     bool may_resume() const;
 
     /// Takes how long it took until the first event.
@@ -112,7 +112,7 @@
     base::steady_time prefill_started_;
     base::milliseconds prefill_expected_{0};
     double prefill_ahead_ = 0.0; ///< Tokens that were to be read before.
-    traffic::excluded_servers prefill_tried_;
+    policy::excluded_servers prefill_tried_;
     int prefills_ = 0;
     int arrivals_ = 0; ///< Calls that count against the retry allowance.
     int prepaid_ = 0;  ///< Calls that the allowance has been charged for.
@@ -124,7 +124,7 @@
     double decode_reserved_ = 0.0;
     base::steady_time placed_at_;
     base::steady_time decode_started_;
-    traffic::excluded_servers decode_tried_;
+    policy::excluded_servers decode_tried_;
     http1::response_head answer_;
     answer_terms answer_terms_;
     std::string failure_body_;
--- a/libs/mintknotd-platform/relay/src/generation_prefill.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_prefill.cpp
@@ -31,7 +31,7 @@
     const double tokens = request_.terms.prompt_tokens;
     prefill_ahead_ = ahead;
     prefill_expected_ =
-        traffic::read_time(owner_.state.rates, engine.id, ahead + tokens);
+        policy::read_time(owner_.state.rates, engine.id, ahead + tokens);
     prefill_server_ = engine.id;
     prefill_tried_.insert(engine.id);
     prefill_started_ = owner_.loop.now();
@@ -91,24 +91,24 @@
         const bool misdirected = prefill_status_ == status_misdirected;
         const bool rejected = prefill_terms_.not_executed;
         after_failed_prefill(
-            misdirected ? traffic::call_result::misdirected
-            : rejected  ? traffic::call_result::rejected
-                        : traffic::call_result::failed,
+            misdirected ? policy::call_result::misdirected
+            : rejected  ? policy::call_result::rejected
+                        : policy::call_result::failed,
             rejected ? "prefill_rejected" : "prefill_failed");
         return;
     }
     const base::steady_time now = owner_.loop.now();
     const auto took =
         std::chrono::duration_cast<base::milliseconds>(now - prefill_started_);
-    traffic::note_read(
+    policy::note_read(
         owner_.state.rates, prefill_server_,
         request_.terms.prompt_tokens + prefill_ahead_, took);
     if (prefill_ahead_ <= 0.0)
-        traffic::note_read_alone(
+        policy::note_read_alone(
             owner_.state.demands[service_.name], request_.terms.prompt_tokens,
             took);
     note_result(
-        owner_, prefill_server_, traffic::call_result::good, request_.terms.id);
+        owner_, prefill_server_, policy::call_result::good, request_.terms.id);
     note_taken_up();
     kept_.server = prefill_server_;
     kept_.handle = result->handle;
@@ -121,23 +121,23 @@
 void generation_exchange::on_prefill_failure(upstream::call_failure why) {
     if (why == upstream::call_failure::unreachable)
         after_failed_prefill(
-            traffic::call_result::unreachable, "prefill_unreachable");
+            policy::call_result::unreachable, "prefill_unreachable");
     else
-        after_failed_prefill(traffic::call_result::failed, "prefill_broke_off");
+        after_failed_prefill(policy::call_result::failed, "prefill_broke_off");
 }
 
 void generation_exchange::on_prefill_silence() {
-    after_failed_prefill(traffic::call_result::slow, "prefill_silent");
+    after_failed_prefill(policy::call_result::slow, "prefill_silent");
 }
 
 void generation_exchange::after_failed_prefill(
-    traffic::call_result result, std::string_view reason) {
+    policy::call_result result, std::string_view reason) {
     note_result(owner_, prefill_server_, result, request_.terms.id);
-    if (result == traffic::call_result::unreachable)
+    if (result == policy::call_result::unreachable)
         --arrivals_;
     else if (
-        result == traffic::call_result::failed ||
-        result == traffic::call_result::slow)
+        result == policy::call_result::failed ||
+        result == policy::call_result::slow)
         note_taken_up();
     owner_.log.write(
         "prefill_again", {{"request", request_.terms.id},
--- a/libs/mintknotd-platform/relay/src/plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.cpp
@@ -27,7 +27,7 @@
 
 plain_exchange::plain_exchange(
     router& owner, answer_sink& sink, caller_request request,
-    std::shared_ptr<const traffic::catalogue> config,
+    std::shared_ptr<const traffic::configuration> config,
     const traffic::route& route, const traffic::service& service)
     : exchange(
           owner, sink, std::move(request), std::move(config), route, service)
@@ -60,15 +60,15 @@
 }
 
 void plain_exchange::send() {
-    traffic::placement_query wanted;
+    policy::placement_query wanted;
     wanted.service = service_.name;
     wanted.excluded = tried_;
     placement_ = place_request(
         owner_, service_, std::move(wanted),
-        [this](const traffic::placement& placed) { on_placed(placed); });
+        [this](const policy::placement& placed) { on_placed(placed); });
 }
 
-void plain_exchange::on_placed(const traffic::placement& placed) {
+void plain_exchange::on_placed(const policy::placement& placed) {
     const traffic::server* chosen =
         traffic::find(owner_.state.servers, placed.server);
     if (chosen == nullptr || chosen->draining) {
@@ -151,7 +151,7 @@
     call_.reset();
     if (head_sent_) {
         note_result(
-            owner_, server, traffic::call_result::good, request_.terms.id);
+            owner_, server, policy::call_result::good, request_.terms.id);
         end_answer("answered");
         return;
     }
@@ -161,8 +161,8 @@
         const bool misdirected = answer_.status == status_misdirected;
         note_result(
             owner_, server,
-            misdirected ? traffic::call_result::misdirected
-                        : traffic::call_result::rejected,
+            misdirected ? policy::call_result::misdirected
+                        : policy::call_result::rejected,
             request_.terms.id);
         if (rejected_ > most_rejections)
             give_up("server_rejected");
@@ -177,7 +177,7 @@
     const bool failed = spoiled || answer_.status >= 500;
     note_result(
         owner_, server,
-        failed ? traffic::call_result::failed : traffic::call_result::good,
+        failed ? policy::call_result::failed : policy::call_result::good,
         request_.terms.id);
     if (failed && may_repeat_after_run() &&
         time_left() > base::milliseconds{0} &&
@@ -201,7 +201,7 @@
         --runs_;
         ++unreachable_;
         note_result(
-            owner_, server, traffic::call_result::unreachable,
+            owner_, server, policy::call_result::unreachable,
             request_.terms.id);
         // Nothing was sent, so that this costs no allowance.
         if (unreachable_ > most_unreachable)
@@ -213,8 +213,7 @@
         return;
     }
     raise(base::verdict::may_have_run);
-    note_result(
-        owner_, server, traffic::call_result::failed, request_.terms.id);
+    note_result(owner_, server, policy::call_result::failed, request_.terms.id);
     if (head_sent_)
         break_answer("server_broke_off");
     else
@@ -222,7 +221,7 @@
 }
 
 void plain_exchange::on_silence() {
-    note_result(owner_, server_, traffic::call_result::slow, request_.terms.id);
+    note_result(owner_, server_, policy::call_result::slow, request_.terms.id);
     if (!may_repeat_after_run() || !spend_repeat(owner_, service_.name))
         return;
     raise(base::verdict::may_have_run);
--- a/libs/mintknotd-platform/relay/src/plain_exchange.hpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.hpp
@@ -13,7 +13,7 @@
 public:
     plain_exchange(
         router& owner, answer_sink& sink, caller_request request,
-        std::shared_ptr<const traffic::catalogue> config,
+        std::shared_ptr<const traffic::configuration> config,
         const traffic::route& route, const traffic::service& service);
     ~plain_exchange() override;
 
@@ -25,7 +25,7 @@
     bool may_be_running() const override;
 
     void send();
-    void on_placed(const traffic::placement& placed);
+    void on_placed(const policy::placement& placed);
     void on_head(http1::response_head& head);
     void on_body(std::string_view piece);
     void on_done();
@@ -40,7 +40,7 @@
     std::unique_ptr<placement_ticket> placement_;
     std::unique_ptr<upstream::call> call_;
     std::string server_; ///< ID of the one that is working on it.
-    traffic::excluded_servers tried_;
+    policy::excluded_servers tried_;
     http1::response_head answer_;
     answer_terms answer_terms_;
     std::string body_;
--- a/libs/mintknotd-platform/relay/src/relay_metrics.cpp
+++ b/libs/mintknotd-platform/relay/src/relay_metrics.cpp
@@ -86,8 +86,8 @@
         .Observe(seconds(request.total));
 }
 
-void relay_metrics::count_call(traffic::call_result result) {
-    impl_->calls.Add({{"result", std::string(traffic::to_string(result))}})
+void relay_metrics::count_call(policy::call_result result) {
+    impl_->calls.Add({{"result", std::string(policy::to_string(result))}})
         .Increment();
 }
 
--- a/libs/mintknotd-platform/relay/src/router_state.cpp
+++ b/libs/mintknotd-platform/relay/src/router_state.cpp
@@ -41,18 +41,18 @@
 }
 
 void note_result(
-    router& owner, const std::string& server_id, traffic::call_result result,
+    router& owner, const std::string& server_id, policy::call_result result,
     const std::string& request_id) {
     owner.metrics.count_call(result);
     const base::steady_time now = owner.loop.now();
-    if (!traffic::note(owner.state.health, server_id, result, now))
+    if (!policy::note(owner.state.health, server_id, result, now))
         return;
     const auto left = base::time_left(
-        traffic::avoided_until(owner.state.health, server_id), now);
+        policy::avoided_until(owner.state.health, server_id), now);
     owner.log.write(
         "server_avoided", {{"request", request_id},
                            {"server", server_id},
-                           {"because", traffic::to_string(result)},
+                           {"because", policy::to_string(result)},
                            {"for_ms", left.count()}});
     tell_load_change(owner);
     owner.prober.watch(server_id);
@@ -60,17 +60,17 @@
 
 void note_retries(
     router_state& state, const std::string& peer, std::uint64_t incarnation,
-    const traffic::usage_map& usage, base::steady_time now) {
+    const policy::usage_map& usage, base::steady_time now) {
     std::erase_if(state.retries_of_peers, [&](const auto& item) {
         return now - item.second.heard > state.retry_bounds.window;
     });
     state.retries_of_peers[{peer, incarnation}] = {usage, now};
 }
 
-traffic::fleet_usage fleet_usage_of(
+policy::fleet_usage fleet_usage_of(
     const router_state& state, const std::string& service,
     base::steady_time now) {
-    traffic::fleet_usage fleet;
+    policy::fleet_usage fleet;
     for (const auto& [peer, told] : state.retries_of_peers) {
         if (now - told.heard > state.retry_bounds.window)
             continue;
@@ -112,7 +112,7 @@
 
 base::milliseconds
 return_after_outage(const router& owner, const std::string& service) {
-    const base::milliseconds age = traffic::outage_age(
+    const base::milliseconds age = policy::outage_age(
         owner.state.health, traffic::open_servers(owner.state.servers, service),
         owner.loop.now());
     return std::clamp(age, shortest_outage, longest_outage);
@@ -120,7 +120,7 @@
 
 bool spend_repeat(router& owner, const std::string& service) {
     const base::steady_time now = owner.loop.now();
-    return traffic::spend(
+    return policy::spend(
         owner.state.allowances[service], owner.state.retry_bounds,
         {owner.state.instances, fleet_usage_of(owner.state, service, now),
          owner.state.started},
@@ -129,17 +129,17 @@
 
 std::unique_ptr<placement_ticket> place_request(
     router& owner, const traffic::service& target,
-    traffic::placement_query query, const placement_handler& then) {
+    policy::placement_query query, const placement_handler& then) {
     if (owner.placement != nullptr && owner.placement->active())
         return owner.placement->ask(std::move(query), then);
-    then(traffic::choose(selection_for(owner, target), query));
+    then(policy::choose(selection_for(owner, target), query));
     return nullptr;
 }
 
-traffic::selection_inputs
+policy::selection_inputs
 selection_for(router& owner, const traffic::service& target) {
     traffic::expire(owner.state.loads, owner.loop.now());
-    traffic::selection_inputs inputs{
+    policy::selection_inputs inputs{
         owner.state.servers,
         owner.state.loads,
         owner.state.health,
@@ -149,7 +149,7 @@
         owner.state.instances,
         owner.loop.now(),
         [&owner] { return owner.draw(); }};
-    inputs.mean_hold = traffic::mean_hold(owner.state.demands[target.name]);
+    inputs.mean_hold = policy::mean_hold(owner.state.demands[target.name]);
     return inputs;
 }
 
--- a/libs/mintknotd-platform/relay/tests/relay_fixture.cpp
+++ b/libs/mintknotd-platform/relay/tests/relay_fixture.cpp
@@ -174,7 +174,7 @@
 
 void relay_fixture::configure() {
     traffic::index(config);
-    shared.state.config = std::make_shared<traffic::catalogue>(config);
+    shared.state.config = std::make_shared<traffic::configuration>(config);
 }
 
 scripted_server& relay_fixture::add_server(
--- a/libs/mintknotd-platform/relay/tests/relay_fixture.hpp
+++ b/libs/mintknotd-platform/relay/tests/relay_fixture.hpp
@@ -84,7 +84,7 @@
     health_prober prober;
     router shared;
     std::unique_ptr<entry_server> entry;
-    traffic::catalogue config;
+    traffic::configuration config;
     /// Takes over changes of `config`.
     void configure();
 
--- a/libs/mintknotd-platform/relay/tests/test_entry_server.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_entry_server.cpp
@@ -175,12 +175,22 @@
 }
 
 Test(drain, leaves_when_nothing_is_left_and_before_the_grace_ends) {
-    cr_assert(next_step(seconds(0), seconds(8), 0) == drain_step::serve);
-    cr_assert(next_step(seconds(2), seconds(8), 0) == drain_step::close_idle);
-    cr_assert(next_step(seconds(3), seconds(8), 0) == drain_step::leave);
-    cr_assert(next_step(seconds(7), seconds(8), 3) == drain_step::close_idle);
     cr_assert(
-        next_step(base::milliseconds(7700), seconds(8), 3) ==
-        drain_step::leave);
-    cr_assert(next_step(seconds(0), seconds(0), 9) == drain_step::leave);
+        policy::next_step(seconds(0), seconds(8), 0) ==
+        policy::drain_step::serve);
+    cr_assert(
+        policy::next_step(seconds(2), seconds(8), 0) ==
+        policy::drain_step::close_idle);
+    cr_assert(
+        policy::next_step(seconds(3), seconds(8), 0) ==
+        policy::drain_step::leave);
+    cr_assert(
+        policy::next_step(seconds(7), seconds(8), 3) ==
+        policy::drain_step::close_idle);
+    cr_assert(
+        policy::next_step(base::milliseconds(7700), seconds(8), 3) ==
+        policy::drain_step::leave);
+    cr_assert(
+        policy::next_step(seconds(0), seconds(0), 9) ==
+        policy::drain_step::leave);
 }
--- a/libs/mintknotd-platform/relay/tests/test_generation_exchange.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_generation_exchange.cpp
@@ -164,7 +164,7 @@
     relay_fixture f;
     // Requests end soon, so that room is expected in time.
     for (int i = 0; i < 100; ++i)
-        traffic::note_decode(
+        policy::note_decode(
             f.shared.state.demands["llm"], 0.5, base::milliseconds(100));
     f.add_server("p", "llm", prefill, good_prefill("k1"));
     f.add_server("d", "llm", decode, good_decode());
@@ -183,7 +183,7 @@
     // 9,000 tokens that are held for ten seconds each: 4,300 of them are set
     // free after 4.8 s, where the target is a second.
     for (int i = 0; i < 300; ++i)
-        traffic::note_decode(
+        policy::note_decode(
             f.shared.state.demands["llm"], 0.5, base::milliseconds(10000));
     traffic::add(f.shared.state.loads, "d", {1, 0.0, 9000.0});
     const caller_view seen = f.ask(prompt("/stream/x", 5000));
@@ -197,8 +197,8 @@
     public:
         bool active() const override { return true; }
         std::unique_ptr<placement_ticket>
-        ask(traffic::placement_query, placement_handler then) override {
-            traffic::placement placed;
+        ask(policy::placement_query, placement_handler then) override {
+            policy::placement placed;
             placed.server = ++asked_ == 1 ? "gone" : "d";
             then(placed);
             return nullptr;
@@ -218,7 +218,7 @@
     relay_fixture f;
     f.add_server("d", "llm", decode, good_decode());
     for (int i = 0; i < 300; ++i)
-        traffic::note_decode(
+        policy::note_decode(
             f.shared.state.demands["llm"], 0.5, base::milliseconds(500));
     traffic::add(f.shared.state.loads, "d", {1, 0.0, 9000.0});
     f.shared.state.waiting_of_peers["peer"] = {
@@ -304,7 +304,7 @@
     // sixteen streams were given up as an engine was silent for a second.
     relay_fixture f;
     for (int i = 0; i < 100; ++i)
-        traffic::note_decode(
+        policy::note_decode(
             f.shared.state.demands["llm"], 0.5, base::milliseconds(100));
     const script silent = [](const received&, const event::connection_ptr&) {};
     f.add_server("d1", "llm", decode, silent);
--- a/libs/mintknotd-platform/relay/tests/test_plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_plain_exchange.cpp
@@ -108,8 +108,8 @@
 Test(plain_exchange, after_a_long_outage_callers_are_told_to_come_back_later) {
     relay_fixture f;
     f.add_dead_server("i1", "app");
-    traffic::note(
-        f.shared.state.health, "i1", traffic::call_result::good,
+    policy::note(
+        f.shared.state.health, "i1", policy::call_result::good,
         f.owner.now() - std::chrono::seconds(3));
     const caller_view seen = f.ask(request("/unsafe/x"));
     cr_assert(seen.status == 503);
--- a/libs/mintknotd-platform/relay/tests/test_router_state.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_router_state.cpp
@@ -9,7 +9,7 @@
 
 const base::steady_time start = base::steady_time{} + std::chrono::hours(1);
 
-traffic::usage_map used(std::int64_t repeats) {
+policy::usage_map used(std::int64_t repeats) {
     return {{"llm", {10, repeats}}};
 }
 
--- a/libs/mintknotd-platform/runtime/include/mintknot/runtime/instance.hpp
+++ b/libs/mintknotd-platform/runtime/include/mintknot/runtime/instance.hpp
@@ -32,7 +32,7 @@
     base::address peer;
     std::vector<std::string> seed_hosts;
     base::milliseconds grace{8000}; ///< From SIGTERM until it must be gone.
-    traffic::retry_bounds retry_bounds;
+    policy::retry_bounds retry_bounds;
     /// Within which a server that says that it leaves gets no new request.
     base::milliseconds drain_bound{2000};
     /// How long another holder of orders must wait after the last one.
--- a/libs/mintknotd-platform/runtime/src/document_sync.cpp
+++ b/libs/mintknotd-platform/runtime/src/document_sync.cpp
@@ -61,7 +61,7 @@
 
 state::replica_handlers document_sync::replica_functions() {
     return {
-        [this](std::shared_ptr<const traffic::catalogue> config) {
+        [this](std::shared_ptr<const traffic::configuration> config) {
             handlers_.on_configuration(std::move(config));
         },
         [this](
--- a/libs/mintknotd-platform/runtime/src/document_sync.hpp
+++ b/libs/mintknotd-platform/runtime/src/document_sync.hpp
@@ -37,7 +37,7 @@
 
 /// Whom the object tells of changes.
 struct document_handlers {
-    std::function<void(std::shared_ptr<const traffic::catalogue>)>
+    std::function<void(std::shared_ptr<const traffic::configuration>)>
         on_configuration;
     /// Removals come late where the row may only have lapsed.
     std::function<void(
--- a/libs/mintknotd-platform/runtime/src/heartbeat_content.cpp
+++ b/libs/mintknotd-platform/runtime/src/heartbeat_content.cpp
@@ -25,11 +25,11 @@
     own.leaving = state.stopping;
     own.data_centre = router.options.data_centre;
     for (const auto& [service, allowance] : state.allowances)
-        own.usage[service] = traffic::usage(allowance, state.retry_bounds, now);
+        own.usage[service] = policy::usage(allowance, state.retry_bounds, now);
     if (with_loads)
         own.loads = state.loads.own;
     own.waiting = router.queue.waiting();
-    own.warnings = traffic::own_warnings(state.health, now);
+    own.warnings = policy::own_warnings(state.health, now);
     for (const auto& [id, until] : state.health.ordered_until)
         if (until > now)
             own.changes.push_back({id, base::time_left(until, now)});
@@ -46,12 +46,12 @@
     relay::note_waiting(state, host, heartbeat.waiting, now);
     relay::note_retries(
         state, host, heartbeat.incarnation, heartbeat.usage, now);
-    for (const traffic::server_warning& change : heartbeat.changes)
-        traffic::note_peer_change(
+    for (const policy::server_warning& change : heartbeat.changes)
+        policy::note_peer_change(
             state.health, change.server_id, now + change.left);
-    for (const traffic::server_warning& warning : heartbeat.warnings)
+    for (const policy::server_warning& warning : heartbeat.warnings)
         if (concerns_here(router, heartbeat, warning.server_id))
-            traffic::warn(
+            policy::warn(
                 state.health, warning.server_id, now + warning.left, now);
 }
 
--- a/libs/mintknotd-platform/runtime/src/instance.cpp
+++ b/libs/mintknotd-platform/runtime/src/instance.cpp
@@ -53,7 +53,7 @@
               ports.loop, pool, ports.protocol, log,
               [this](const std::string& id) { return check_of(id); },
               [this](const std::string& id, bool passed) {
-                  traffic::note_check(
+                  policy::note_check(
                       shared.state.health, id, passed, ports.loop.now());
               })
         , shared{ports.loop, pool,     ports.protocol, log,
@@ -112,7 +112,7 @@
 
     document_handlers document_functions() {
         return {
-            [this](std::shared_ptr<const traffic::catalogue> config) {
+            [this](std::shared_ptr<const traffic::configuration> config) {
                 shared.state.config = std::move(config);
                 group.changed();
             },
@@ -135,12 +135,12 @@
                 shared.state.servers, id, version, std::move(server)))
             return;
         if (changed)
-            traffic::end_change(shared.state.health, id);
+            policy::end_change(shared.state.health, id);
         shared.queue.room_freed();
         if (gone) {
             pool.drop(id);
-            traffic::forget(shared.state.health, id);
-            traffic::forget(shared.state.rates, id);
+            policy::forget(shared.state.health, id);
+            policy::forget(shared.state.rates, id);
         }
         if (!placer.active())
             group.changed();
@@ -241,7 +241,7 @@
         return relay::health_check{
             {server->id, server->where},
             service->second.health_path,
-            traffic::avoided_until(shared.state.health, id)};
+            policy::avoided_until(shared.state.health, id)};
     }
 
     bool ready() const {
@@ -315,13 +315,13 @@
     void drain() {
         const auto since = std::chrono::duration_cast<base::milliseconds>(
             ports.loop.now() - shared.state.stop_began);
-        switch (relay::next_step(since, settings.grace, entry.busy())) {
-        case relay::drain_step::serve:
+        switch (policy::next_step(since, settings.grace, entry.busy())) {
+        case policy::drain_step::serve:
             break;
-        case relay::drain_step::close_idle:
+        case policy::drain_step::close_idle:
             entry.close_idle();
             break;
-        case relay::drain_step::leave:
+        case policy::drain_step::leave:
             leave(since);
             return;
         }
--- a/libs/mintknotd-platform/runtime/tests/plain_codec.hpp
+++ b/libs/mintknotd-platform/runtime/tests/plain_codec.hpp
@@ -9,9 +9,9 @@
 
 class plain_codec final : public state::document_codec {
 public:
-    absl::StatusOr<traffic::catalogue>
+    absl::StatusOr<traffic::configuration>
     read_configuration(std::string_view) const override {
-        return traffic::catalogue{};
+        return traffic::configuration{};
     }
     absl::StatusOr<traffic::server>
     read_server(const std::string& id, std::string_view) const override {
--- a/libs/mintknotd-platform/runtime/tests/test_instance.cpp
+++ b/libs/mintknotd-platform/runtime/tests/test_instance.cpp
@@ -63,9 +63,9 @@
 
 class number_codec final : public state::document_codec {
 public:
-    absl::StatusOr<traffic::catalogue>
+    absl::StatusOr<traffic::configuration>
     read_configuration(std::string_view text) const override {
-        traffic::catalogue value;
+        traffic::configuration value;
         value.version = text.size();
         return value;
     }
--- a/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/messages.hpp
+++ b/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/messages.hpp
@@ -20,14 +20,14 @@
 struct placement_request {
     std::uint64_t number = 0; ///< The answer repeats it.
     std::string data_centre;  ///< Of the domain; empty: all.
-    traffic::placement_query query;
+    policy::placement_query query;
 };
 
 /// The answer to it.
 struct placement_answer {
     std::uint64_t number = 0;
     bool known = false; ///< Whether the scheduler knows the service at all.
-    traffic::placement placed;
+    policy::placement placed;
 };
 
 /// How fast a prefill engine has read, in tokens a millisecond.
@@ -40,7 +40,7 @@
 /// has seen of servers.
 struct load_report {
     traffic::load_map loads;
-    std::vector<traffic::server_warning> avoided;
+    std::vector<policy::server_warning> avoided;
     std::vector<observed_rate> rates; ///< Since the last report.
 };
 
--- a/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/remote_placer.hpp
+++ b/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/remote_placer.hpp
@@ -55,7 +55,7 @@
 
     bool active() const override;
     std::unique_ptr<relay::placement_ticket>
-    ask(traffic::placement_query query, relay::placement_handler then) override;
+    ask(policy::placement_query query, relay::placement_handler then) override;
 
     /// Own loads or health have changed.
     void loads_changed();
--- a/libs/mintknotd-platform/scheduling/src/messages.cpp
+++ b/libs/mintknotd-platform/scheduling/src/messages.cpp
@@ -25,22 +25,22 @@
     return static_cast<double>(value.get<std::int64_t>());
 }
 
-json to_json(const traffic::excluded_servers& servers) {
+json to_json(const policy::excluded_servers& servers) {
     json rows = json::array();
     for (const std::string& id : servers)
         rows.push_back(id);
     return rows;
 }
 
-traffic::excluded_servers servers_from(const json& rows) {
-    traffic::excluded_servers servers;
+policy::excluded_servers servers_from(const json& rows) {
+    policy::excluded_servers servers;
     for (const json& row : peers::bounded(rows))
         servers.insert(row.get<std::string>());
     return servers;
 }
 
 json to_json(const placement_request& value) {
-    const traffic::placement_query& query = value.query;
+    const policy::placement_query& query = value.query;
     return {
         request_format,
         value.number,
@@ -62,10 +62,10 @@
     value.data_centre = row.at(2).get<std::string>();
     value.query.service = row.at(3).get<std::string>();
     const int kind = row.at(4).get<int>();
-    if (kind < static_cast<int>(traffic::placement_kind::plain) ||
-        kind > static_cast<int>(traffic::placement_kind::prefill_and_decode))
+    if (kind < static_cast<int>(policy::placement_kind::plain) ||
+        kind > static_cast<int>(policy::placement_kind::prefill_and_decode))
         throw json::other_error::create(501, "unknown kind", &row);
-    value.query.kind = static_cast<traffic::placement_kind>(kind);
+    value.query.kind = static_cast<policy::placement_kind>(kind);
     value.query.prompt_tokens = number(row.at(5));
     value.query.memory_tokens = number(row.at(6));
     value.query.read_limit = base::milliseconds(row.at(7).get<std::int64_t>());
@@ -78,13 +78,13 @@
 
 /// A forecast in milliseconds and thousandths of a token a millisecond; null
 /// where no wait is to be foreseen.
-json to_json(const traffic::room_forecast& value) {
+json to_json(const policy::room_forecast& value) {
     const json wait = value.wait ? json(value.wait->count()) : json(nullptr);
     return {wait, whole(value.release_rate * rate_unit)};
 }
 
-traffic::room_forecast forecast_from(const json& row) {
-    traffic::room_forecast value;
+policy::room_forecast forecast_from(const json& row) {
+    policy::room_forecast value;
     if (!row.at(0).is_null())
         value.wait = base::milliseconds(row.at(0).get<std::int64_t>());
     value.release_rate = number(row.at(1)) / rate_unit;
--- a/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
@@ -20,12 +20,13 @@
 struct question {
     explicit question(event::loop& owner)
         : patience(owner) {}
-    traffic::placement_query query;
+    policy::placement_query query;
     relay::placement_handler then;
-    std::vector<domain> left;   ///< Domains to be asked, the next one first.
-    traffic::room_summary seen; ///< In the domains that had no room.
-    std::string asked;          ///< The scheduler that is to answer.
-    int tries = 0;              ///< Within the domain at hand.
+    std::vector<policy::domain>
+        left;                  ///< Domains to be asked, the next one first.
+    policy::room_summary seen; ///< In the domains that had no room.
+    std::string asked;         ///< The scheduler that is to answer.
+    int tries = 0;             ///< Within the domain at hand.
     event::timer patience;
 };
 
@@ -42,23 +43,23 @@
 
     /// @return the scheduler of a domain, passing over those that have not
     /// answered lately; empty if there is none.
-    std::string scheduler(const domain& which) const {
+    std::string scheduler(const policy::domain& which) const {
         std::vector<std::string> hosts = ports.hosts(which.data_centre);
         std::erase_if(hosts, [this](const std::string& host) {
             const auto found = suspected.find(host);
             return found != suspected.end() && found->second > now();
         });
-        return scheduler_of(which, hosts);
+        return policy::scheduler_of(which, hosts);
     }
 
     /// Rules out what this instance avoids: its way to a server may be broken
     /// where the scheduler's is not. If it is most of them, the fault is here.
-    void exclude_avoided(traffic::placement_query& query) const {
+    void exclude_avoided(policy::placement_query& query) const {
         const auto& open =
             traffic::open_servers(router.state.servers, query.service);
-        traffic::excluded_servers avoided;
+        policy::excluded_servers avoided;
         for (const traffic::server* server : open)
-            if (traffic::avoided(router.state.health, server->id, now()))
+            if (policy::avoided(router.state.health, server->id, now()))
                 avoided.insert(server->id);
         if (avoided.size() > most_avoided || avoided.size() * 2 > open.size())
             return;
@@ -67,14 +68,14 @@
     }
 
     std::uint64_t
-    begin(traffic::placement_query query, relay::placement_handler then) {
+    begin(policy::placement_query query, relay::placement_handler then) {
         const std::uint64_t number = ++last_number;
         auto entry = std::make_unique<question>(router.loop);
-        entry->left = domains_of(
+        entry->left = policy::domains_of(
             router.state.servers, query.service, router.options.data_centre);
-        if (query.kind == traffic::placement_kind::plain &&
+        if (query.kind == policy::placement_kind::plain &&
             entry->left.size() > 1)
-            query.kind = traffic::placement_kind::plain_with_room;
+            query.kind = policy::placement_kind::plain_with_room;
         exclude_avoided(query);
         query.data_centre = router.options.data_centre;
         entry->query = std::move(query);
@@ -94,7 +95,7 @@
             return;
         question& entry = *found->second;
         if (entry.left.empty()) {
-            traffic::placement placed = place_anywhere(entry.query);
+            policy::placement placed = place_anywhere(entry.query);
             placed.room = entry.seen;
             finish(number, placed);
             return;
@@ -118,7 +119,7 @@
     }
 
     /// Takes what the domain at hand has to offer, or asks the next one.
-    void take(std::uint64_t number, const traffic::placement& placed) {
+    void take(std::uint64_t number, const policy::placement& placed) {
         question& entry = *questions.at(number);
         if (!placed.server.empty()) {
             finish(number, placed);
@@ -129,13 +130,13 @@
         entry.seen.most_room =
             std::max(entry.seen.most_room, placed.room.most_room);
         entry.seen.forecast =
-            traffic::joined(entry.seen.forecast, placed.room.forecast);
+            policy::joined(entry.seen.forecast, placed.room.forecast);
         entry.left.erase(entry.left.begin());
         entry.tries = 0;
         ask_next(number);
     }
 
-    void finish(std::uint64_t number, const traffic::placement& placed) {
+    void finish(std::uint64_t number, const policy::placement& placed) {
         auto node = questions.extract(number);
         node.mapped()->patience.stop();
         const relay::placement_handler then = std::move(node.mapped()->then);
@@ -155,28 +156,28 @@
     }
 
     /// No domain has room. Plain servers queue: one of them takes it still.
-    traffic::placement place_anywhere(const traffic::placement_query& query) {
-        if (query.kind != traffic::placement_kind::plain_with_room)
+    policy::placement place_anywhere(const policy::placement_query& query) {
+        if (query.kind != policy::placement_kind::plain_with_room)
             return {};
-        traffic::placement_query anywhere = query;
-        anywhere.kind = traffic::placement_kind::plain;
+        policy::placement_query anywhere = query;
+        anywhere.kind = policy::placement_kind::plain;
         return decide(anywhere, {query.service, {}}, false);
     }
 
     /// @param exact whether this instance schedules the domain, and so knows
     /// what is in flight there.
-    traffic::placement decide(
-        const traffic::placement_query& query, const domain& which,
+    policy::placement decide(
+        const policy::placement_query& query, const policy::domain& which,
         bool exact) const {
         const traffic::service* service = service_of(query.service);
         if (service == nullptr)
             return {};
-        traffic::selection_inputs inputs =
+        policy::selection_inputs inputs =
             relay::selection_for(router, *service);
         inputs.only_data_centre = which.data_centre;
         inputs.own_data_centre = query.data_centre;
         inputs.all_loads_known = exact;
-        return traffic::choose(inputs, query);
+        return policy::choose(inputs, query);
     }
 
     const traffic::service* service_of(const std::string& name) const {
@@ -195,7 +196,7 @@
             request.query, {request.query.service, request.data_centre}, true);
         traffic::add_to_peer(
             router.state.loads, host,
-            traffic::placed_loads(answer.placed, request.query), now());
+            policy::placed_loads(answer.placed, request.query), now());
         ports.send(host, encode(answer));
     }
 
@@ -209,7 +210,7 @@
         }
         found->second->patience.stop();
         if (answer.known) {
-            traffic::placement placed = answer.placed;
+            policy::placement placed = answer.placed;
             placed.by = host;
             take(answer.number, placed);
             return;
@@ -220,12 +221,12 @@
 
     void on_message(const std::string& host, const load_report& report) {
         traffic::set_peer(router.state.loads, host, report.loads, now());
-        for (const traffic::server_warning& server : report.avoided)
-            traffic::warn(
+        for (const policy::server_warning& server : report.avoided)
+            policy::warn(
                 router.state.health, server.server_id, now() + server.left,
                 now());
         for (const observed_rate& observed : report.rates)
-            traffic::note_rate(router.state.rates, observed.id, observed.rate);
+            policy::note_rate(router.state.rates, observed.id, observed.rate);
     }
 
     void loads_changed() {
@@ -245,8 +246,8 @@
         for (const std::string& host : reported)
             reports[host];
         reported.clear();
-        const std::vector<traffic::server_warning> avoided =
-            traffic::own_warnings(router.state.health, now());
+        const std::vector<policy::server_warning> avoided =
+            policy::own_warnings(router.state.health, now());
         for (const auto& [id, load] : router.state.loads.own) {
             const std::string host = scheduler_elsewhere(id);
             if (host.empty())
@@ -255,7 +256,7 @@
             reported.insert(host);
         }
         // The schedulers of servers that are avoided here are to know it, too.
-        for (const traffic::server_warning& warning : avoided) {
+        for (const policy::server_warning& warning : avoided) {
             const std::string host = scheduler_elsewhere(warning.server_id);
             if (!host.empty())
                 reports[host];
@@ -274,19 +275,20 @@
             traffic::find(router.state.servers, server_id);
         if (server == nullptr)
             return {};
-        std::string host = scheduler(domain_of(router.state.servers, *server));
+        std::string host =
+            scheduler(policy::domain_of(router.state.servers, *server));
         return host == ports.own_host ? std::string{} : host;
     }
 
     /// Adds what is avoided here and how fast engines were seen to read.
     void add_observations(
         std::map<std::string, load_report>& reports,
-        const std::vector<traffic::server_warning>& avoided) {
+        const std::vector<policy::server_warning>& avoided) {
         if (reports.empty())
             return;
         std::vector<observed_rate> rates;
         for (const std::string& id : router.state.rates.fresh)
-            rates.push_back({id, traffic::rate_of(router.state.rates, id)});
+            rates.push_back({id, policy::rate_of(router.state.rates, id)});
         router.state.rates.fresh.clear();
         for (auto& [host, report] : reports) {
             report.avoided = avoided;
@@ -333,7 +335,7 @@
 }
 
 std::unique_ptr<relay::placement_ticket> remote_placer::ask(
-    traffic::placement_query query, relay::placement_handler then) {
+    policy::placement_query query, relay::placement_handler then) {
     const std::uint64_t number =
         impl_->begin(std::move(query), std::move(then));
     return std::make_unique<ticket>(
--- a/libs/mintknotd-platform/scheduling/tests/test_messages.cpp
+++ b/libs/mintknotd-platform/scheduling/tests/test_messages.cpp
@@ -10,7 +10,7 @@
     sent.number = 7;
     sent.data_centre = "a";
     sent.query.service = "llm";
-    sent.query.kind = traffic::placement_kind::prefill_and_decode;
+    sent.query.kind = policy::placement_kind::prefill_and_decode;
     sent.query.prompt_tokens = 3000.0;
     sent.query.memory_tokens = 3040.0;
     sent.query.read_limit = base::milliseconds(450);
--- a/libs/mintknotd-platform/scheduling/tests/test_remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/tests/test_remote_placer.cpp
@@ -48,22 +48,22 @@
     }
 
     std::unique_ptr<relay::placement_ticket> ask(double memory_tokens = 100.0) {
-        traffic::placement_query query;
+        policy::placement_query query;
         query.service = "llm";
-        query.kind = traffic::placement_kind::decode;
+        query.kind = policy::placement_kind::decode;
         query.memory_tokens = memory_tokens;
         return placer.ask(
-            query, [this](const traffic::placement& placed) { got = placed; });
+            query, [this](const policy::placement& placed) { got = placed; });
     }
 
     /// Lets the placer answer a request of another instance.
-    traffic::placement
+    policy::placement
     answer_to(double memory_tokens, const std::string& data_centre = "a") {
         placement_request request;
         request.number = 1;
         request.query.data_centre = data_centre;
         request.query.service = "llm";
-        request.query.kind = traffic::placement_kind::decode;
+        request.query.kind = policy::placement_kind::decode;
         request.query.memory_tokens = memory_tokens;
         placer.receive("asker", encode(request));
         const auto answer = std::get<placement_answer>(sent.back().value);
@@ -74,7 +74,7 @@
     relay_fixture f;
     std::vector<std::string> hosts;
     std::deque<sent_message> sent;
-    std::optional<traffic::placement> got;
+    std::optional<policy::placement> got;
     std::uint64_t version = 1000;
     remote_placer placer;
 };
@@ -189,11 +189,11 @@
     bench b({"x"});
     for (const char* id : {"d1", "d2", "d3"})
         b.add_engine(id, decode_phase);
-    traffic::note(
-        b.f.shared.state.health, "d2", traffic::call_result::unreachable,
+    policy::note(
+        b.f.shared.state.health, "d2", policy::call_result::unreachable,
         b.f.owner.now());
     const auto ticket = b.ask();
     b.f.run_until([&] { return !b.sent.empty(); });
     const auto& asked = std::get<placement_request>(b.sent[0].value);
-    cr_assert(asked.query.excluded == traffic::excluded_servers{"d2"});
+    cr_assert(asked.query.excluded == policy::excluded_servers{"d2"});
 }
--- a/libs/mintknotd-platform/state/include/mintknot/state/replica.hpp
+++ b/libs/mintknotd-platform/state/include/mintknot/state/replica.hpp
@@ -24,7 +24,7 @@
 class document_codec {
 public:
     virtual ~document_codec() = default;
-    virtual absl::StatusOr<traffic::catalogue>
+    virtual absl::StatusOr<traffic::configuration>
     read_configuration(std::string_view text) const = 0;
     virtual absl::StatusOr<traffic::server>
     read_server(const std::string& id, std::string_view text) const = 0;
@@ -32,7 +32,7 @@
 
 /// Whom the replica tells of changes.
 struct replica_handlers {
-    std::function<void(std::shared_ptr<const traffic::catalogue>)>
+    std::function<void(std::shared_ptr<const traffic::configuration>)>
         on_configuration;
     std::function<void(
         const std::string& id, std::uint64_t version,
--- a/libs/mintknotd-platform/state/src/replica.cpp
+++ b/libs/mintknotd-platform/state/src/replica.cpp
@@ -175,7 +175,7 @@
              {"routes", static_cast<std::int64_t>(config->routes.size())},
              {"source", source}});
         handlers_.on_configuration(
-            std::make_shared<const traffic::catalogue>(*std::move(config)));
+            std::make_shared<const traffic::configuration>(*std::move(config)));
         return true;
     }
     if (!change.text) {
--- a/libs/mintknotd-platform/state/tests/test_replica.cpp
+++ b/libs/mintknotd-platform/state/tests/test_replica.cpp
@@ -12,11 +12,11 @@
 /// "bad" cannot be read; anything else is a configuration or a server.
 class test_codec final : public document_codec {
 public:
-    absl::StatusOr<traffic::catalogue>
+    absl::StatusOr<traffic::configuration>
     read_configuration(std::string_view text) const override {
         if (text == "bad")
             return absl::InvalidArgumentError("bad");
-        traffic::catalogue value;
+        traffic::configuration value;
         value.version = text.size();
         return value;
     }
--- a/libs/mintknotd-platform/state/tests/test_store_reader.cpp
+++ b/libs/mintknotd-platform/state/tests/test_store_reader.cpp
@@ -11,9 +11,9 @@
 
 class no_codec final : public document_codec {
 public:
-    absl::StatusOr<traffic::catalogue>
+    absl::StatusOr<traffic::configuration>
     read_configuration(std::string_view) const override {
-        return traffic::catalogue{};
+        return traffic::configuration{};
     }
     absl::StatusOr<traffic::server>
     read_server(const std::string& id, std::string_view) const override {
--- a/libs/mintknotd-platform/traffic/include/mintknot/traffic/configuration.hpp
+++ b/libs/mintknotd-platform/traffic/include/mintknot/traffic/configuration.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Routes, services and limits: the configuration in force for traffic.
-#ifndef MINTKNOT_TRAFFIC_CATALOGUE_HPP
-#define MINTKNOT_TRAFFIC_CATALOGUE_HPP
+#ifndef MINTKNOT_TRAFFIC_CONFIGURATION_HPP
+#define MINTKNOT_TRAFFIC_CONFIGURATION_HPP
 
 #include <mintknot/base/time.hpp>
 
@@ -73,7 +73,7 @@
 };
 
 /// One version of the configuration, immutable once it is indexed.
-struct catalogue {
+struct configuration {
     std::uint64_t version = 0;
     std::vector<route> routes;
     std::unordered_map<std::string, service> services;
@@ -83,13 +83,13 @@
 };
 
 /// Builds `by_place`. To be called once, after the routes are complete.
-void index(catalogue& value);
+void index(configuration& value);
 
 /// @return the route with the longest prefix that begins the path, or null.
 /// @param host as in the Host field; a port and the case do not matter.
 /// @param target the request target; a query does not matter.
 const route* find_route(
-    const catalogue& value, std::string_view host, std::string_view target);
+    const configuration& value, std::string_view host, std::string_view target);
 
 /// @return the service for a request of the route. @param draw uniform in
 /// [0, 1). Precondition: the route has a service.
--- a/libs/mintknotd-platform/traffic/src/configuration.cpp
+++ b/libs/mintknotd-platform/traffic/src/configuration.cpp
@@ -35,7 +35,7 @@
     return "unknown";
 }
 
-void index(catalogue& value) {
+void index(configuration& value) {
     value.by_place.clear();
     for (std::size_t i = 0; i < value.routes.size(); ++i) {
         const route& entry = value.routes[i];
@@ -44,7 +44,8 @@
 }
 
 const route* find_route(
-    const catalogue& value, std::string_view host, std::string_view target) {
+    const configuration& value, std::string_view host,
+    std::string_view target) {
     const std::string_view name = without_port(host);
     std::string_view path = target.substr(0, target.find('?'));
     while (true) {
--- a/libs/mintknotd-platform/traffic/tests/test_configuration.cpp
+++ b/libs/mintknotd-platform/traffic/tests/test_configuration.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-catalogue
+configuration
 with_routes(const std::vector<std::pair<std::string, std::string>>& places) {
-    catalogue value;
+    configuration value;
     for (const auto& [host, prefix] : places) {
         route entry;
         entry.name = host + prefix;
@@ -23,29 +23,29 @@
 
 } // namespace
 
-Test(catalogue, the_longest_prefix_wins) {
-    const catalogue value =
+Test(configuration, the_longest_prefix_wins) {
+    const configuration value =
         with_routes({{"h", "/"}, {"h", "/a/"}, {"h", "/a/b/"}});
     cr_assert(find_route(value, "h", "/a/b/c")->path_prefix == "/a/b/");
     cr_assert(find_route(value, "h", "/a/bc")->path_prefix == "/a/");
     cr_assert(find_route(value, "h", "/x?y=/a/b/")->path_prefix == "/");
 }
 
-Test(catalogue, hosts_are_compared_without_case_and_port) {
-    const catalogue value = with_routes({{"H.example", "/a/"}});
+Test(configuration, hosts_are_compared_without_case_and_port) {
+    const configuration value = with_routes({{"H.example", "/a/"}});
     cr_assert(find_route(value, "h.EXAMPLE:8080", "/a/x") != nullptr);
     cr_assert(find_route(value, "i.example", "/a/x") == nullptr);
 }
 
-Test(catalogue, a_path_outside_all_prefixes_has_no_route) {
-    const catalogue value = with_routes({{"h", "/a/"}});
+Test(configuration, a_path_outside_all_prefixes_has_no_route) {
+    const configuration value = with_routes({{"h", "/a/"}});
     cr_assert(find_route(value, "h", "/b/x") == nullptr);
     cr_assert(find_route(value, "h", "/a") == nullptr);
     cr_assert(find_route(value, "h", "*") == nullptr);
     cr_assert(find_route(value, "h", "") == nullptr);
 }
 
-Test(catalogue, splits_follow_the_weights) {
+Test(configuration, splits_follow_the_weights) {
     route entry;
     entry.services = {{"a", 90.0}, {"b", 10.0}};
     cr_assert(choose_service(entry, 0.0) == "a");
--- a/testing/compatibility/test_router.cpp
+++ b/testing/compatibility/test_router.cpp
@@ -59,7 +59,7 @@
 }
 
 scheduling::placement_request
-sample_request(traffic::placement_kind kind, std::uint64_t number) {
+sample_request(policy::placement_kind kind, std::uint64_t number) {
     scheduling::placement_request value;
     value.number = number;
     value.data_centre = "dc-a";
@@ -90,7 +90,7 @@
 }
 
 std::string datagrams() {
-    using traffic::placement_kind;
+    using policy::placement_kind;
     peers::heartbeat without_loads = sample_heartbeat();
     without_loads.loads.reset();
     scheduling::placement_answer unforeseen = sample_answer();
@@ -213,10 +213,10 @@
     metrics.count_request(
         {"route", "answered", base::milliseconds(10), base::milliseconds(20)});
     for (const auto result :
-         {traffic::call_result::good, traffic::call_result::failed,
-          traffic::call_result::rejected, traffic::call_result::unreachable,
-          traffic::call_result::silent, traffic::call_result::slow,
-          traffic::call_result::misdirected})
+         {policy::call_result::good, policy::call_result::failed,
+          policy::call_result::rejected, policy::call_result::unreachable,
+          policy::call_result::silent, policy::call_result::slow,
+          policy::call_result::misdirected})
         metrics.count_call(result);
     metrics.count_repeat("server_failure");
     metrics.set_gauge("ready", 1.0);
