--- a/libs/mintknotd-platform/peers/include/mintknot/peers/peer_group.hpp
+++ b/libs/mintknotd-platform/peers/include/mintknot/peers/peer_group.hpp
@@ -23,8 +23,8 @@
     base::address own;
     std::string data_centre;
     std::vector<std::string> seeds; ///< Hosts; stale ones do no harm.
-    base::milliseconds calm_period{500};
-    base::milliseconds shortest_gap{60};
+    base::milliseconds heartbeat_period{500};
+    base::milliseconds min_gap{60};
     base::milliseconds search_period{1000};
 };
 
@@ -39,7 +39,7 @@
 };
 
 /// Tells all instances that are heard of this one's state: at once when it
-/// changes, but not more often than `shortest_gap`, else periodically, and in
+/// changes, but not more often than `min_gap`, else periodically, and in
 /// very large groups more rarely beyond the own data centre.
 class peer_group {
 public:
--- a/libs/mintknotd-platform/peers/include/mintknot/peers/peer_table.hpp
+++ b/libs/mintknotd-platform/peers/include/mintknot/peers/peer_table.hpp
@@ -33,7 +33,7 @@
     /// told of.
     std::map<std::string, base::steady_time> candidates;
     std::set<std::string> seeds;
-    std::size_t most_seen = 1; ///< Most instances that lived at once.
+    std::size_t largest_size = 1; ///< Most instances that lived at once.
 };
 
 /// Groups with more instances than this are large: what all tell all is then
--- a/libs/mintknotd-platform/peers/src/message_parts.cpp
+++ b/libs/mintknotd-platform/peers/src/message_parts.cpp
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-constexpr std::size_t most_entries = 4096;
+constexpr std::size_t max_entries = 4096;
 /// As the JSON library numbers its own errors of this kind.
 constexpr int error_number = 501;
 
@@ -19,7 +19,7 @@
 } // namespace
 
 const json& bounded(const json& rows) {
-    if (!rows.is_array() || rows.size() > most_entries)
+    if (!rows.is_array() || rows.size() > max_entries)
         throw json::other_error::create(
             error_number, "too many entries", &rows);
     return rows;
--- a/libs/mintknotd-platform/peers/src/peer_group.cpp
+++ b/libs/mintknotd-platform/peers/src/peer_group.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 /// Hosts that one heartbeat names; a random part of a larger group.
-constexpr std::size_t most_hosts = 16;
-constexpr std::size_t most_hosts_in_large_group = 3;
+constexpr std::size_t max_hosts = 16;
+constexpr std::size_t max_hosts_in_large_group = 3;
 /// Lost instances that are sought at a time.
-constexpr std::size_t most_sought = 16;
+constexpr std::size_t max_sought = 16;
 
 /// Keeps a random part of the hosts.
 void keep_some(std::vector<std::string>& hosts, std::size_t most) {
@@ -45,8 +45,8 @@
     std::vector<std::string> some_hosts() const {
         std::vector<std::string> hosts = heard_hosts(table, audience::all);
         keep_some(
-            hosts, hosts.size() > large_group ? most_hosts_in_large_group
-                                              : most_hosts);
+            hosts,
+            hosts.size() > large_group ? max_hosts_in_large_group : max_hosts);
         return hosts;
     }
 
@@ -70,14 +70,14 @@
             seek(datagram);
         }
         sent = now;
-        plan(now + near_period(table, options.calm_period));
+        plan(now + near_period(table, options.heartbeat_period));
     }
 
     /// @return who is to be told now: everybody of a change, else other data
     /// centres more rarely.
     std::vector<std::string> due_hosts(base::steady_time now) {
         const bool far_due =
-            now - sent_far >= far_period(table, options.calm_period);
+            now - sent_far >= far_period(table, options.heartbeat_period);
         if (!change_pending && !far_due)
             return heard_hosts(table, audience::near);
         change_pending = false;
@@ -88,7 +88,7 @@
     /// Seeds are always among those that are sought, while they are not heard.
     void seek(const std::string& datagram) {
         std::vector<std::string> hosts = sought_hosts(table);
-        keep_some(hosts, most_sought);
+        keep_some(hosts, max_sought);
         std::set<std::string> due(hosts.begin(), hosts.end());
         for (const std::string& seed : table.seeds)
             if (seed != table.own_host && !table.heard.contains(seed))
@@ -135,7 +135,7 @@
     void changed() {
         change_pending = true;
         const base::steady_time soon =
-            std::max(owner.now(), sent + options.shortest_gap);
+            std::max(owner.now(), sent + options.min_gap);
         if (soon < planned)
             plan(soon);
     }
--- a/libs/mintknotd-platform/peers/src/peer_table.cpp
+++ b/libs/mintknotd-platform/peers/src/peer_table.cpp
@@ -8,12 +8,12 @@
 
 /// Groups up to this size are told at the calm period, larger ones more
 /// rarely.
-constexpr std::size_t group_at_calm_period = 40;
-constexpr base::milliseconds longest_near_period{1300};
+constexpr std::size_t max_group_at_base_period = 40;
+constexpr base::milliseconds max_near_period{1300};
 /// Mean time between two heartbeats to other data centres: some 4 KB a second.
-constexpr base::milliseconds gap_of_far_peers{21};
+constexpr base::milliseconds far_heartbeat_gap{21};
 /// Heartbeats that may be lost before an instance is taken for gone.
-constexpr int periods_of_silence = 3;
+constexpr int missed_heartbeats_to_expire = 3;
 
 bool is_far(const peer_table& table, const peer& known) {
     return known.data_centre != table.own_data_centre;
@@ -37,7 +37,7 @@
     for (const std::string& other : value.hosts)
         if (other != table.own_host)
             table.candidates.emplace(other, now);
-    table.most_seen = std::max(table.most_seen, table.heard.size() + 1);
+    table.largest_size = std::max(table.largest_size, table.heard.size() + 1);
     return true;
 }
 
@@ -81,12 +81,12 @@
 base::milliseconds
 near_period(const peer_table& table, base::milliseconds calm) {
     const std::size_t size = table.heard.size();
-    if (size <= group_at_calm_period)
+    if (size <= max_group_at_base_period)
         return calm;
     return std::min(
-        longest_near_period,
+        max_near_period,
         calm * static_cast<std::int64_t>(size) /
-            static_cast<std::int64_t>(group_at_calm_period));
+            static_cast<std::int64_t>(max_group_at_base_period));
 }
 
 base::milliseconds
@@ -94,13 +94,13 @@
     const auto far = std::count_if(
         table.heard.begin(), table.heard.end(),
         [&](const auto& item) { return is_far(table, item.second); });
-    return std::max(near_period(table, calm), gap_of_far_peers * far);
+    return std::max(near_period(table, calm), far_heartbeat_gap * far);
 }
 
 base::milliseconds life(const peer_table& table) {
     // Others may have more far peers than this instance: all count.
     return std::max(
-        peer_life, gap_of_far_peers * periods_of_silence *
+        peer_life, far_heartbeat_gap * missed_heartbeats_to_expire *
                        static_cast<std::int64_t>(table.heard.size()));
 }
 
@@ -115,7 +115,7 @@
 }
 
 std::size_t instances(const peer_table& table) {
-    return table.most_seen;
+    return table.largest_size;
 }
 
 bool is_large(const peer_table& table) {
--- a/libs/mintknotd-platform/peers/tests/test_peer_group.cpp
+++ b/libs/mintknotd-platform/peers/tests/test_peer_group.cpp
@@ -39,7 +39,7 @@
         group_options options;
         options.own = {host, port};
         options.seeds = {hosts[0], "127.0.0.99"};
-        options.calm_period = base::milliseconds(20);
+        options.heartbeat_period = base::milliseconds(20);
         options.search_period = base::milliseconds(20);
         groups.push_back(std::make_unique<peer_group>(
             owner, log, options,
@@ -70,7 +70,7 @@
         options.data_centre = host;
         options.seeds = {"127.0.0.2"};
         // Without a change nothing would be sent for the whole test.
-        options.calm_period = test_limit * 10;
+        options.heartbeat_period = test_limit * 10;
         options.search_period = base::milliseconds(20);
         groups.push_back(std::make_unique<peer_group>(
             owner, log, options,
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/selection.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/selection.hpp
@@ -88,7 +88,7 @@
 struct room_summary {
     int engines = 0;        ///< That decode and take requests.
     int avoided = 0;        ///< Of them.
-    double most_room = 0.0; ///< Free tokens of the emptiest other one.
+    double max_room = 0.0;  ///< Free tokens of the emptiest other one.
     room_forecast forecast; ///< Over all of them.
 };
 
--- a/libs/mintknotd-platform/policy/src/admission.cpp
+++ b/libs/mintknotd-platform/policy/src/admission.cpp
@@ -12,10 +12,10 @@
 constexpr base::milliseconds deadline_life{30000};
 /// A caller that was refused comes back with so much less time at least: the
 /// shortest time that a refusal tells, less a margin for callers that hurry.
-constexpr base::milliseconds least_time_spent{200};
+constexpr base::milliseconds min_time_spent{200};
 /// No caller is told to come back sooner: room is looked for again and again
 /// within that time anyway.
-constexpr base::milliseconds soonest_return{250};
+constexpr base::milliseconds min_return{250};
 /// Part of the room that is set free which callers who come back may take; the
 /// rest goes to fresh requests. Of 0.1, 0.2 and 0.5 it served as many first
 /// tries in time as the first and more than the last (83.9, 83.7 and 83.4 in
@@ -45,7 +45,7 @@
 bool has_returned(
     const longest_deadline& longest,
     std::optional<base::milliseconds> deadline) {
-    return deadline && *deadline + least_time_spent < longest.value;
+    return deadline && *deadline + min_time_spent < longest.value;
 }
 
 bool can_meet_target(
@@ -69,7 +69,7 @@
     return_schedule& schedule, const return_terms& terms,
     base::steady_time now) {
     const base::milliseconds wait =
-        std::max(soonest_return, terms.expected_wait.value_or(soonest_return));
+        std::max(min_return, terms.expected_wait.value_or(min_return));
     schedule.last = std::max(schedule.last, now + wait);
     if (terms.forecast.release_rate > 0.0)
         schedule.last += time_for_room(terms, terms.forecast.release_rate);
--- a/libs/mintknotd-platform/policy/src/drain.cpp
+++ b/libs/mintknotd-platform/policy/src/drain.cpp
@@ -13,7 +13,7 @@
 /// Kept free at the end of the grace.
 constexpr base::milliseconds margin{400};
 /// What a plain request is given at most.
-constexpr base::milliseconds longest_plain{1500};
+constexpr base::milliseconds max_plain_time{1500};
 
 } // namespace
 
@@ -35,7 +35,7 @@
     base::milliseconds grace) {
     if (route.kind == traffic::route_kind::streaming)
         return since < std::min(arrivals, grace / 3);
-    const base::milliseconds needed = std::min(route.timeout, longest_plain);
+    const base::milliseconds needed = std::min(route.timeout, max_plain_time);
     return since + needed < grace - margin;
 }
 
--- a/libs/mintknotd-platform/policy/src/phase_demand.cpp
+++ b/libs/mintknotd-platform/policy/src/phase_demand.cpp
@@ -9,9 +9,9 @@
 
 /// Weight of what was known before, for each new observation.
 constexpr double memory = 0.99;
-constexpr double least_reads = 8.0;
+constexpr double min_reads = 8.0;
 /// Least part of a read's time that keeps the engine busy.
-constexpr double least_slope_share = 0.5;
+constexpr double min_slope_share = 0.5;
 constexpr double milliseconds_per_second = 1000.0;
 /// What is assumed of a service until requests of it were seen: 500 tokens out
 /// at 6 ms each, a prompt of 3,000 tokens read at 20 a millisecond, and some
@@ -78,7 +78,7 @@
 }
 
 double prefill_seconds(const phase_demand& demand) {
-    if (demand.reads < least_reads)
+    if (demand.reads < min_reads)
         return 0.0;
     const double mean_tokens = demand.tokens / demand.reads;
     const double mean_time = demand.time / demand.reads;
@@ -88,7 +88,7 @@
         demand.tokens_times_time / demand.reads - mean_tokens * mean_time;
     const double slope = spread > 1.0 ? together / spread : 0.0;
     return std::clamp(
-               slope * mean_tokens, least_slope_share * mean_time, mean_time) /
+               slope * mean_tokens, min_slope_share * mean_time, mean_time) /
            milliseconds_per_second;
 }
 
--- a/libs/mintknotd-platform/policy/src/phase_plan.cpp
+++ b/libs/mintknotd-platform/policy/src/phase_plan.cpp
@@ -23,7 +23,7 @@
 /// One of so many engines may be changing at a time.
 constexpr std::size_t engines_for_one_change = 6;
 /// Services with fewer engines are left as they are.
-constexpr std::size_t least_engines = 3;
+constexpr std::size_t min_engines = 3;
 
 const traffic::server* least_busy(
     const std::vector<planned_engine>& engines, engine_phase phase,
@@ -63,7 +63,7 @@
     const auto unusable = static_cast<std::size_t>(std::count_if(
         engines.begin(), engines.end(),
         [](const planned_engine& engine) { return engine.unusable; }));
-    if (engines.size() < least_engines ||
+    if (engines.size() < min_engines ||
         unusable >=
             std::max<std::size_t>(1, engines.size() / engines_for_one_change))
         return std::nullopt;
--- a/libs/mintknotd-platform/policy/src/retry_allowance.cpp
+++ b/libs/mintknotd-platform/policy/src/retry_allowance.cpp
@@ -12,7 +12,7 @@
 /// no window can more than the whole part be spent.
 constexpr double saved_share = 0.5;
 /// Most earned repeats that are kept.
-constexpr double most_earned = 4.0;
+constexpr double max_earned = 4.0;
 /// Share of the whole bound up to which an instance spends beyond its part.
 constexpr double common_share = 0.5;
 /// Share of the whole bound above which not even the own part is spent.
@@ -85,7 +85,7 @@
 void earn(
     retry_allowance& allowance, const retry_bounds& bounds,
     base::steady_time now) {
-    allowance.earned = std::min(most_earned, allowance.earned + bounds.ratio);
+    allowance.earned = std::min(max_earned, allowance.earned + bounds.ratio);
     ++current(allowance.used, bounds, now).requests;
 }
 
--- a/libs/mintknotd-platform/policy/src/selection.cpp
+++ b/libs/mintknotd-platform/policy/src/selection.cpp
@@ -10,8 +10,8 @@
 constexpr double learning_rate = 0.2;
 /// Tokens a millisecond of an engine while too few are known.
 constexpr double default_rate = 20.0;
-constexpr double least_rate = 0.1;
-constexpr std::size_t least_known_rates = 2;
+constexpr double min_rate = 0.1;
+constexpr std::size_t min_known_rates = 2;
 /// Cost of a plain server of another data centre, in shares of its slots. What
 /// crosses a border is broken off when the border is cut: 0.6 against 0.2
 /// raised worth by 0.003 and 0.006 of the most possible (thirty plays each on
@@ -27,7 +27,7 @@
 constexpr double move_distance_cost = 0.1;
 /// Cost of another data centre, in milliseconds of reading.
 constexpr double prefill_distance_cost = 15.0;
-constexpr double drawn_servers = 12.0;
+constexpr double sample_size = 12.0;
 /// Random part of a score, so that instances do not all choose alike.
 constexpr double jitter = 0.08;
 constexpr double prefill_jitter_ms = 10.0;
@@ -44,7 +44,7 @@
 bool connections_left(
     const selection_inputs& inputs, const traffic::server& candidate) {
     const std::size_t share = std::max<std::size_t>(
-        2, inputs.target.most_connections /
+        2, inputs.target.max_connections /
                std::max<std::size_t>(inputs.instances, 1));
     return static_cast<std::size_t>(
                traffic::own(inputs.loads, candidate.id).calls) < share;
@@ -90,7 +90,7 @@
     const std::size_t servers =
         traffic::open_servers(inputs.servers, inputs.target.name).size();
     if (servers > traffic::many_servers && !inputs.all_loads_known) {
-        const double share = drawn_servers / static_cast<double>(servers);
+        const double share = sample_size / static_cast<double>(servers);
         const traffic::server* drawn =
             best_of_drawn(inputs, excluded, score, with_avoided, share);
         if (drawn != nullptr)
@@ -162,7 +162,7 @@
 namespace {
 
 double median_rate(const read_rates& rates) {
-    if (rates.by_id.size() < least_known_rates)
+    if (rates.by_id.size() < min_known_rates)
         return default_rate;
     std::vector<double> sorted;
     for (const auto& [id, rate] : rates.by_id)
@@ -179,7 +179,7 @@
     const auto found = rates.by_id.find(id);
     const double rate =
         found == rates.by_id.end() ? median_rate(rates) : found->second;
-    return std::max(rate, least_rate);
+    return std::max(rate, min_rate);
 }
 
 const traffic::server*
@@ -274,7 +274,7 @@
         if (avoided(inputs.health, engine->id, inputs.now))
             ++summary.avoided;
         else
-            summary.most_room = std::max(summary.most_room, memory - held);
+            summary.max_room = std::max(summary.max_room, memory - held);
     }
     summary.forecast =
         forecast_room(memories, wanted.memory_tokens, inputs.mean_hold);
--- a/libs/mintknotd-platform/policy/src/server_health.cpp
+++ b/libs/mintknotd-platform/policy/src/server_health.cpp
@@ -9,8 +9,8 @@
 
 constexpr std::chrono::duration<double> half_life{6.0};
 constexpr base::milliseconds first_ejection{1500};
-constexpr base::milliseconds longest_ejection{8000};
-constexpr int most_doublings = 3;
+constexpr base::milliseconds max_ejection{8000};
+constexpr int max_doublings = 3;
 /// Failures in a row after which a server is avoided.
 constexpr int failures_to_eject = 3;
 constexpr int slow_calls_to_eject = 2;
@@ -18,7 +18,7 @@
 /// with each further one.
 constexpr int rejections_to_pause = 2;
 constexpr base::milliseconds rejection_pause{500};
-constexpr int most_rejection_pauses = 4;
+constexpr int max_rejection_pauses = 4;
 /// How long a server is avoided that is no longer at its address.
 constexpr base::milliseconds misdirected_ejection{10000};
 /// How much longer a server is avoided after a failed health check.
@@ -39,11 +39,11 @@
 
 bool eject(health_record& record, call_result result, base::steady_time now) {
     const bool fresh = record.avoid_until <= now;
-    const int doublings = std::min(record.ejections, most_doublings);
+    const int doublings = std::min(record.ejections, max_doublings);
     const base::milliseconds time =
         result == call_result::misdirected
             ? misdirected_ejection
-            : std::min(longest_ejection, first_ejection * (1 << doublings));
+            : std::min(max_ejection, first_ejection * (1 << doublings));
     record.avoid_until = std::max(record.avoid_until, now + time);
     if (fresh)
         ++record.ejections;
@@ -59,7 +59,7 @@
     const bool fresh = record.avoid_until <= now;
     const int steps = std::min(
         record.rejections_in_a_row - rejections_to_pause + 1,
-        most_rejection_pauses);
+        max_rejection_pauses);
     record.avoid_until =
         std::max(record.avoid_until, now + rejection_pause * steps);
     return fresh;
--- a/libs/mintknotd-platform/policy/tests/test_selection.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_selection.cpp
@@ -16,7 +16,7 @@
 struct small_pool {
     small_pool() {
         target.name = "llm";
-        target.most_connections = 1000;
+        target.max_connections = 1000;
         target.engine = traffic::engine_spec{10000, base::milliseconds(500)};
     }
     void add_server(
@@ -147,7 +147,7 @@
 
 Test(selection, connections_are_shared_among_instances) {
     small_pool pool;
-    pool.target.most_connections = 8;
+    pool.target.max_connections = 8;
     pool.add_server("s", traffic::engine_phase::none);
     cr_assert(name_of(select_plain(pool.inputs(), {})) == "s");
     add(pool.loads, "s", {2, 0.0, 0.0});
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/dialect.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/dialect.hpp
@@ -19,7 +19,7 @@
     std::string id; ///< Empty if the caller named none.
     std::optional<base::milliseconds> deadline; ///< From its arrival.
     double prompt_tokens = 0.0;
-    double most_output_tokens = 0.0;
+    double max_output_tokens = 0.0;
     std::optional<double> expected_output_tokens; ///< The caller's guess.
 };
 
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
@@ -35,8 +35,8 @@
 /// Settings of the relay.
 struct relay_options {
     std::string data_centre;
-    std::size_t most_callers = 1500; ///< Open connections of callers.
-    std::size_t most_body_bytes = 24 * 1024 * 1024; ///< Of all open requests.
+    std::size_t max_callers = 1500; ///< Open connections of callers.
+    std::size_t max_body_bytes = 24 * 1024 * 1024; ///< Of all open requests.
 };
 
 /// What a peer has last told of its retries. What an earlier life of it, or
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/wait_queue.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/wait_queue.hpp
@@ -50,7 +50,7 @@
     void room_freed();
     /// Wakes the queue no more often than that from now on: where each try is a
     /// message to another instance.
-    void slow_down(base::milliseconds least_gap);
+    void slow_down(base::milliseconds min_wake_gap);
 
     /// @return the tokens that requests of a better rank wait for.
     double
--- a/libs/mintknotd-platform/relay/src/caller_session.cpp
+++ b/libs/mintknotd-platform/relay/src/caller_session.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Bytes behind the request at hand that are kept; more wait in the system.
-constexpr std::size_t most_pending_bytes = 64 * 1024;
+constexpr std::size_t max_pending_bytes = 64 * 1024;
 /// Unsent bytes of an answer above which its server is no longer read.
 constexpr std::size_t congested_bytes = 128 * 1024;
 /// How long a body may take beyond the time for its head.
@@ -88,7 +88,7 @@
     }
     pending_.append(bytes);
     if (answering_) {
-        if (pending_.size() > most_pending_bytes)
+        if (pending_.size() > max_pending_bytes)
             link_->pause_reading();
         return;
     }
@@ -206,7 +206,7 @@
         answer(503, "stopping", come_back);
         return;
     }
-    if (owner_.state.open_body_bytes > owner_.options.most_body_bytes) {
+    if (owner_.state.open_body_bytes > owner_.options.max_body_bytes) {
         answer(503, "memory_full", come_back);
         return;
     }
--- a/libs/mintknotd-platform/relay/src/entry_server.cpp
+++ b/libs/mintknotd-platform/relay/src/entry_server.cpp
@@ -14,7 +14,7 @@
         , listener(shared.loop) {}
 
     void accept(event::connection_ptr link) {
-        if (sessions.size() >= owner.options.most_callers &&
+        if (sessions.size() >= owner.options.max_callers &&
             !close_longest_idle()) {
             // Closed unread: the caller knows that nothing has run.
             link->abort();
--- a/libs/mintknotd-platform/relay/src/generation_decode.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_decode.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr int most_rejections = 3;
+constexpr int max_rejections = 3;
 /// Connections that may fail before the next one waits a moment.
-constexpr int most_unreachable = 3;
-constexpr std::size_t most_failure_bytes = 64 * 1024;
+constexpr int max_unreachable = 3;
+constexpr std::size_t max_failure_bytes = 64 * 1024;
 /// Silence after which a stream that may be resumed goes on elsewhere.
 constexpr base::milliseconds first_event_patience{1000};
 constexpr base::milliseconds next_event_patience{700};
@@ -88,7 +88,7 @@
 
 void generation_exchange::on_decode_body(std::string_view piece) {
     if (!streaming_) {
-        if (failure_body_.size() < most_failure_bytes)
+        if (failure_body_.size() < max_failure_bytes)
             failure_body_.append(piece);
         return;
     }
@@ -201,7 +201,7 @@
                             {"rejections", std::int64_t{rejected_}},
                             {"after_ms", since_arrival().count()}});
     release_decode();
-    if (rejected_ > most_rejections) {
+    if (rejected_ > max_rejections) {
         if (head_sent_)
             break_answer("decode_rejected");
         else
@@ -226,7 +226,7 @@
             owner_, decode_server_, policy::call_result::unreachable,
             request_.terms.id);
         release_decode();
-        if (++unreachable_ > most_unreachable)
+        if (++unreachable_ > max_unreachable)
             wait_for_connection();
         else
             place();
@@ -252,7 +252,7 @@
 }
 
 bool generation_exchange::may_resume() const {
-    return route_.resumable && runs_ < route_.most_attempts;
+    return route_.resumable && runs_ < route_.max_attempts;
 }
 
 void generation_exchange::go_on_elsewhere(
--- a/libs/mintknotd-platform/relay/src/generation_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_exchange.cpp
@@ -11,7 +11,7 @@
 constexpr base::milliseconds unreachable_pause{100};
 /// In a log line: no room was to be foreseen.
 constexpr base::milliseconds not_foreseen{-1};
-constexpr int most_prefills = 3;
+constexpr int max_prefills = 3;
 /// Part of the expected output that is reserved in a decode engine's memory.
 /// Requests are at different points of their output: on average each holds
 /// about half of it. Worth of a busy day at 0.8: 0.535 (mean of three plays),
@@ -56,7 +56,7 @@
 
 double generation_exchange::memory_needed() const {
     const request_terms& terms = request_.terms;
-    const double most = terms.most_output_tokens;
+    const double most = terms.max_output_tokens;
     const double expected =
         std::min(most, terms.expected_output_tokens.value_or(most / 2.0));
     return terms.prompt_tokens + reserved_output_share * expected;
@@ -76,7 +76,7 @@
 
 policy::placement_query generation_exchange::query() const {
     const bool reads_apart =
-        prefills_ < most_prefills && !result_usable() && rejected_ <= 1;
+        prefills_ < max_prefills && !result_usable() && rejected_ <= 1;
     policy::placement_query wanted;
     wanted.service = service_.name;
     wanted.kind = reads_apart ? policy::placement_kind::prefill_and_decode
@@ -212,7 +212,7 @@
          {"needs", memory_needed()},
          {"engines", std::int64_t{room.engines}},
          {"avoided", std::int64_t{room.avoided}},
-         {"most_room", room.most_room},
+         {"most_room", room.max_room},
          {"peers", static_cast<std::int64_t>(owner_.state.loads.peers.size())},
          {"expected_wait_ms", expected.value_or(not_foreseen).count()},
          {"waited_ms", since_arrival().count()}});
--- a/libs/mintknotd-platform/relay/src/generation_prefill.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_prefill.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-constexpr std::size_t most_result_bytes = 64 * 1024;
+constexpr std::size_t max_result_bytes = 64 * 1024;
 /// A kept result is used only while this much of its life is left.
 constexpr base::milliseconds result_margin{60};
 /// How long a prefill may take beyond what is expected.
 constexpr int prefill_patience = 3;
-constexpr base::milliseconds least_prefill_patience{250};
+constexpr base::milliseconds min_prefill_patience{250};
 
 } // namespace
 
@@ -62,13 +62,13 @@
              prefill_terms_ = owner_.protocol.read_answer(head);
          },
          [this](std::string_view piece) {
-             if (prefill_body_.size() < most_result_bytes)
+             if (prefill_body_.size() < max_result_bytes)
                  prefill_body_.append(piece);
          },
          [this] { on_prefill_done(); },
          [this](upstream::call_failure why) { on_prefill_failure(why); }});
     silence_timer_.start(
-        std::max(least_prefill_patience, prefill_expected_ * prefill_patience),
+        std::max(min_prefill_patience, prefill_expected_ * prefill_patience),
         [this] { on_prefill_silence(); });
 }
 
--- a/libs/mintknotd-platform/relay/src/local_server.cpp
+++ b/libs/mintknotd-platform/relay/src/local_server.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t most_connections = 128;
+constexpr std::size_t max_connections = 128;
 constexpr http1::message_limits request_limits{8 * 1024, 64 * 1024};
 constexpr base::milliseconds idle_time{30000};
 
@@ -34,7 +34,7 @@
         , answer(std::move(answer_function)) {}
 
     void accept(event::connection_ptr link) {
-        if (open >= most_connections) {
+        if (open >= max_connections) {
             link->abort();
             return;
         }
--- a/libs/mintknotd-platform/relay/src/plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.cpp
@@ -9,17 +9,17 @@
 namespace {
 
 /// Answers up to this size are held until they are whole.
-constexpr std::size_t most_held_bytes = 256 * 1024;
-constexpr int most_rejections = 3;
-constexpr int most_unreachable = 4;
+constexpr std::size_t max_held_bytes = 256 * 1024;
+constexpr int max_rejections = 3;
+constexpr int max_unreachable = 4;
 /// Silence after which a server is doubted: some target latencies, but early
 /// enough that a repeatable request can still be answered elsewhere.
 constexpr int patience = 3;
-constexpr base::milliseconds least_patience{300};
+constexpr base::milliseconds min_patience{300};
 
 base::milliseconds patience_for(const traffic::route& route) {
     return std::max(
-        least_patience,
+        min_patience,
         std::min(route.target_latency * patience, route.timeout / 2));
 }
 
@@ -121,7 +121,7 @@
     const bool success = is_success(answer_.status);
     const bool stream = answer_terms_.event_stream && answer_terms_.sealed &&
                         !answer_terms_.encoded && success;
-    if (stream || body_.size() > most_held_bytes)
+    if (stream || body_.size() > max_held_bytes)
         start_streaming();
 }
 
@@ -142,7 +142,7 @@
 }
 
 bool plain_exchange::may_repeat_after_run() const {
-    return route_.repeatable() && runs_ < route_.most_attempts;
+    return route_.repeatable() && runs_ < route_.max_attempts;
 }
 
 void plain_exchange::on_done() {
@@ -164,7 +164,7 @@
             misdirected ? policy::call_result::misdirected
                         : policy::call_result::rejected,
             request_.terms.id);
-        if (rejected_ > most_rejections)
+        if (rejected_ > max_rejections)
             give_up("server_rejected");
         else
             send_again("server_rejected");
@@ -204,7 +204,7 @@
             owner_, server, policy::call_result::unreachable,
             request_.terms.id);
         // Nothing was sent, so that this costs no allowance.
-        if (unreachable_ > most_unreachable)
+        if (unreachable_ > max_unreachable)
             give_up(
                 "server_unreachable",
                 return_after_outage(owner_, service_.name));
--- a/libs/mintknotd-platform/relay/src/relay_metrics.cpp
+++ b/libs/mintknotd-platform/relay/src/relay_metrics.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t most_routes = 64;
+constexpr std::size_t max_routes = 64;
 
 const prometheus::Histogram::BucketBoundaries& latency_buckets() {
     static const prometheus::Histogram::BucketBoundaries bounds = {
@@ -31,7 +31,7 @@
     std::string route_label(const std::string& route) {
         if (routes.contains(route))
             return route;
-        if (routes.size() >= most_routes)
+        if (routes.size() >= max_routes)
             return "other";
         routes.insert(route);
         return route;
--- a/libs/mintknotd-platform/relay/src/release_queue.cpp
+++ b/libs/mintknotd-platform/relay/src/release_queue.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr std::size_t most_open = 64;
+constexpr std::size_t max_open = 64;
 
 } // namespace
 
@@ -15,7 +15,7 @@
 
 void release_queue::add(
     const traffic::server& engine, const std::string& handle) {
-    if (open_.size() >= most_open)
+    if (open_.size() >= max_open)
         return;
     const std::uint64_t number = ++last_;
     open_[number] = upstream::call::start(
--- a/libs/mintknotd-platform/relay/src/router_state.cpp
+++ b/libs/mintknotd-platform/relay/src/router_state.cpp
@@ -14,9 +14,9 @@
 constexpr double part_ahead = 0.5;
 
 /// Between the first failed calls an outage is as good as over.
-constexpr base::milliseconds shortest_outage{250};
+constexpr base::milliseconds min_outage{250};
 /// Callers name deadlines of some seconds: later than this, none would come.
-constexpr base::milliseconds longest_outage{30000};
+constexpr base::milliseconds max_outage{30000};
 
 void tell_load_change(router& owner) {
     if (owner.state.on_load_change)
@@ -115,7 +115,7 @@
     const base::milliseconds age = policy::outage_age(
         owner.state.health, traffic::open_servers(owner.state.servers, service),
         owner.loop.now());
-    return std::clamp(age, shortest_outage, longest_outage);
+    return std::clamp(age, min_outage, max_outage);
 }
 
 bool spend_repeat(router& owner, const std::string& service) {
--- a/libs/mintknotd-platform/relay/src/wait_queue.cpp
+++ b/libs/mintknotd-platform/relay/src/wait_queue.cpp
@@ -63,7 +63,7 @@
     event::loop& loop;
     event::timer timer;
     base::milliseconds period = default_period;
-    base::milliseconds least_gap{0};
+    base::milliseconds min_wake_gap{0};
     base::steady_time last_wake{};
     std::map<std::uint64_t, waiter> waiters;
     std::uint64_t last_number = 0;
@@ -101,7 +101,7 @@
 
 void wait_queue::room_freed() {
     if (impl_->woken || impl_->waiters.empty() ||
-        impl_->loop.now() - impl_->last_wake < impl_->least_gap)
+        impl_->loop.now() - impl_->last_wake < impl_->min_wake_gap)
         return;
     impl_->woken = true;
     impl_->loop.post([queue = std::weak_ptr<impl>(impl_)] {
@@ -110,9 +110,9 @@
     });
 }
 
-void wait_queue::slow_down(base::milliseconds least_gap) {
-    impl_->least_gap = least_gap;
-    impl_->period = std::max(default_period, least_gap);
+void wait_queue::slow_down(base::milliseconds min_wake_gap) {
+    impl_->min_wake_gap = min_wake_gap;
+    impl_->period = std::max(default_period, min_wake_gap);
 }
 
 double wait_queue::tokens_ahead(
--- a/libs/mintknotd-platform/relay/tests/relay_fixture.cpp
+++ b/libs/mintknotd-platform/relay/tests/relay_fixture.cpp
@@ -30,7 +30,7 @@
     route.kind = kind;
     route.timeout = base::milliseconds(5000);
     route.target_latency = base::milliseconds(1000);
-    route.most_attempts = attempts;
+    route.max_attempts = attempts;
     route.services = {{name == "stream" || name == "resume" ? "llm" : "app"}};
     route.resumable = name == "resume";
     return route;
--- a/libs/mintknotd-platform/relay/tests/test_entry_server.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_entry_server.cpp
@@ -141,7 +141,7 @@
 Test(entry_server, too_many_bodies_are_refused_unrun) {
     relay_fixture f;
     scripted_server& server = f.add_server("i", "app", plain, echoing());
-    f.shared.options.most_body_bytes = 1;
+    f.shared.options.max_body_bytes = 1;
     cr_assert(f.ask(request("/unsafe/x")).status == 503);
     cr_assert(server.requests.empty());
     cr_assert(f.shared.state.open_body_bytes == 0);
@@ -150,7 +150,7 @@
 Test(entry_server, idle_callers_give_way_to_new_ones) {
     relay_fixture f;
     f.add_server("i", "app", plain, echoing());
-    f.shared.options.most_callers = 2;
+    f.shared.options.max_callers = 2;
     const event::connection_ptr first = f.connect_idle();
     bool first_ended = false;
     first->set_handlers(
@@ -166,7 +166,7 @@
     scripted_server& server = f.add_server(
         "i", "app", plain,
         [](const received&, const event::connection_ptr&) {});
-    f.shared.options.most_callers = 1;
+    f.shared.options.max_callers = 1;
     const event::connection_ptr busy = f.connect_idle();
     busy->write(request("/unsafe/x"));
     f.run_until([&] { return server.requests.size() == 1; });
--- a/libs/mintknotd-platform/runtime/src/document_sync.cpp
+++ b/libs/mintknotd-platform/runtime/src/document_sync.cpp
@@ -17,7 +17,7 @@
 /// Snapshots of thousands of servers are large: a hundred instances that start
 /// at once are not to fill the memory of one that is asked by all.
 constexpr std::size_t snapshot_bytes_per_ms = 1000;
-constexpr base::milliseconds most_snapshots_ahead{1500};
+constexpr base::milliseconds max_snapshots_ahead{1500};
 
 } // namespace
 
@@ -112,7 +112,7 @@
 relay::local_answer
 document_sync::snapshot(const std::vector<collection>& parts) {
     const base::steady_time now = owner_.now();
-    if (snapshots_paid_ > now + most_snapshots_ahead)
+    if (snapshots_paid_ > now + max_snapshots_ahead)
         return {503, "text/plain", "busy\n"};
     std::string text = replica_.snapshot(parts);
     snapshots_paid_ = std::max(snapshots_paid_, now) +
--- a/libs/mintknotd-platform/runtime/src/instance.cpp
+++ b/libs/mintknotd-platform/runtime/src/instance.cpp
@@ -24,16 +24,16 @@
 namespace {
 
 constexpr base::milliseconds drain_poll{50};
-constexpr base::milliseconds last_words{60};
+constexpr base::milliseconds exit_delay{60};
 /// Instances that are assumed until more have been heard.
-constexpr std::size_t least_instances = 10;
+constexpr std::size_t min_instances = 10;
 /// In a large group, so many instances of a data centre read the store for all:
 /// one for each dozen. What a reader sends grows with those that it tells.
-constexpr std::size_t least_readers = 2;
-constexpr std::size_t told_by_one_reader = 12;
+constexpr std::size_t min_readers = 2;
+constexpr std::size_t followers_per_reader = 12;
 /// Pause between two questions to a scheduler for one request that waits: some
 /// times the way there and back.
-constexpr base::milliseconds gap_of_questions{60};
+constexpr base::milliseconds min_question_gap{60};
 constexpr std::string_view store_reader_job = "store-reader";
 
 double gauge(std::uint64_t count) {
@@ -98,7 +98,7 @@
                   take(fresh, cause);
               }) {
         shared.state.retry_bounds = settings.retry_bounds;
-        shared.state.instances = least_instances;
+        shared.state.instances = min_instances;
         shared.state.started = ports.loop.now();
         shared.placement = &placer;
         shared.state.on_order = [this] { group.changed(); };
@@ -211,11 +211,11 @@
     on_heartbeat(const std::string& host, const peers::heartbeat& heartbeat) {
         take_heartbeat(shared, host, heartbeat);
         shared.state.instances =
-            std::max(least_instances, peers::instances(group.table()));
+            std::max(min_instances, peers::instances(group.table()));
         if (!calm && placer.active()) {
             calm = true;
             documents.read_calmly();
-            shared.queue.slow_down(gap_of_questions);
+            shared.queue.slow_down(min_question_gap);
         }
         documents.on_heartbeat(host, heartbeat);
     }
@@ -227,7 +227,7 @@
             scheduler_hosts(settings.data_centre);
         return base::rendezvous_first(
             store_reader_job, hosts,
-            std::max(least_readers, hosts.size() / told_by_one_reader));
+            std::max(min_readers, hosts.size() / followers_per_reader));
     }
 
     std::optional<relay::health_check> check_of(const std::string& id) const {
@@ -337,7 +337,7 @@
             "stopped",
             {{"after_ms", since.count()},
              {"unfinished", static_cast<std::int64_t>(entry.busy())}});
-        drain_timer.start(last_words, [this] { ports.loop.stop(); });
+        drain_timer.start(exit_delay, [this] { ports.loop.stop(); });
     }
 
     instance_settings settings;
--- a/libs/mintknotd-platform/runtime/src/lapsed_servers.cpp
+++ b/libs/mintknotd-platform/runtime/src/lapsed_servers.cpp
@@ -8,13 +8,13 @@
 
 /// How long after the store's return a server that lives may be without a
 /// row, and by how much that must stay below the drain bound.
-constexpr base::milliseconds longest_return_time{1600};
+constexpr base::milliseconds max_return_time{1600};
 constexpr base::milliseconds drain_margin{400};
 /// Removals that come together are judged together.
 constexpr base::milliseconds gather_time{50};
 /// So many removals at once, and such a part of all servers, are no departure:
 /// the store has been away without this instance noticing.
-constexpr std::size_t least_mass = 3;
+constexpr std::size_t min_mass = 3;
 constexpr std::size_t mass_part = 4;
 
 } // namespace
@@ -25,8 +25,8 @@
     std::function<std::size_t()> known)
     : owner_(owner)
     , log_(log)
-    , return_time_(std::clamp(
-          drain_bound - drain_margin, gather_time, longest_return_time))
+    , return_time_(
+          std::clamp(drain_bound - drain_margin, gather_time, max_return_time))
     , remove_(std::move(remove))
     , known_(std::move(known))
     , timer_(owner) {}
@@ -49,7 +49,7 @@
 }
 
 void lapsed_servers::settle() {
-    const std::size_t mass = std::max(least_mass, known_() / mass_part);
+    const std::size_t mass = std::max(min_mass, known_() / mass_part);
     const bool held_already = hold_until_ + return_time_ > owner_.now();
     if (held_.size() < mass || held_already) {
         remove_held();
--- a/libs/mintknotd-platform/runtime/src/snapshot_fetcher.cpp
+++ b/libs/mintknotd-platform/runtime/src/snapshot_fetcher.cpp
@@ -6,7 +6,7 @@
 
 /// How long the store's own news of a configuration is waited for.
 constexpr base::milliseconds configuration_patience{150};
-constexpr base::milliseconds shortest_gap{250};
+constexpr base::milliseconds min_gap{250};
 /// Snapshots of thousands of servers take seconds on slow links.
 constexpr base::milliseconds call_time{4000};
 /// How much longer a peer of another data centre is waited for.
@@ -58,7 +58,7 @@
     const bool servers_due = servers_lag_.lasts(
         knows && is_ahead(collection::servers, heartbeat.servers), now,
         server_patience_ * factor);
-    if (call_ != nullptr || now - last_fetch_ < shortest_gap)
+    if (call_ != nullptr || now - last_fetch_ < min_gap)
         return;
     if (servers_due)
         fetch(host, snapshot_path);
--- a/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/remote_placer.hpp
+++ b/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/remote_placer.hpp
@@ -20,8 +20,8 @@
     base::milliseconds patience{30};
     /// How long a scheduler that has not answered is passed over.
     base::milliseconds suspicion{800};
-    base::milliseconds shortest_gap{60}; ///< Between reports of loads.
-    base::milliseconds longest_gap{500}; ///< The same while there is load.
+    base::milliseconds min_gap{60};  ///< Between reports of loads.
+    base::milliseconds max_gap{500}; ///< The same while there is load.
 };
 
 /// How the placer reaches other instances.
--- a/libs/mintknotd-platform/scheduling/src/messages.cpp
+++ b/libs/mintknotd-platform/scheduling/src/messages.cpp
@@ -101,7 +101,7 @@
         whole(value.placed.tokens_ahead),
         value.placed.room.engines,
         value.placed.room.avoided,
-        whole(value.placed.room.most_room),
+        whole(value.placed.room.max_room),
         to_json(value.placed.room.forecast)};
 }
 
@@ -114,7 +114,7 @@
     value.placed.tokens_ahead = number(row.at(5));
     value.placed.room.engines = row.at(6).get<int>();
     value.placed.room.avoided = row.at(7).get<int>();
-    value.placed.room.most_room = number(row.at(8));
+    value.placed.room.max_room = number(row.at(8));
     value.placed.room.forecast = forecast_from(row.at(9));
     return value;
 }
--- a/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 /// Schedulers of one domain that are asked before the choice is made here.
-constexpr int most_tries = 2;
+constexpr int max_tries = 2;
 /// Servers that a question rules out because this instance avoids them.
-constexpr std::size_t most_avoided = 32;
+constexpr std::size_t max_avoided = 32;
 
 /// A request that waits for its servers.
 struct question {
@@ -61,7 +61,7 @@
         for (const traffic::server* server : open)
             if (policy::avoided(router.state.health, server->id, now()))
                 avoided.insert(server->id);
-        if (avoided.size() > most_avoided || avoided.size() * 2 > open.size())
+        if (avoided.size() > max_avoided || avoided.size() * 2 > open.size())
             return;
         query.excluded_prefill.insert(avoided.begin(), avoided.end());
         query.excluded.insert(avoided.begin(), avoided.end());
@@ -102,7 +102,7 @@
         }
         const std::string host = scheduler(entry.left.front());
         if (host.empty() || host == ports.own_host ||
-            entry.tries >= most_tries) {
+            entry.tries >= max_tries) {
             const bool exact = host == ports.own_host;
             take(number, decide(entry.query, entry.left.front(), exact));
             return;
@@ -127,8 +127,8 @@
         }
         entry.seen.engines += placed.room.engines;
         entry.seen.avoided += placed.room.avoided;
-        entry.seen.most_room =
-            std::max(entry.seen.most_room, placed.room.most_room);
+        entry.seen.max_room =
+            std::max(entry.seen.max_room, placed.room.max_room);
         entry.seen.forecast =
             policy::joined(entry.seen.forecast, placed.room.forecast);
         entry.left.erase(entry.left.begin());
@@ -215,7 +215,7 @@
             take(answer.number, placed);
             return;
         }
-        found->second->tries = most_tries;
+        found->second->tries = max_tries;
         ask_next(answer.number);
     }
 
@@ -230,9 +230,9 @@
     }
 
     void loads_changed() {
-        if (report_due <= now() + options.shortest_gap && report_timer.active())
+        if (report_due <= now() + options.min_gap && report_timer.active())
             return;
-        plan_report(std::max(now(), reported_at + options.shortest_gap));
+        plan_report(std::max(now(), reported_at + options.min_gap));
     }
 
     void plan_report(base::steady_time when) {
@@ -265,7 +265,7 @@
         for (const auto& [host, report] : reports)
             ports.send(host, encode(report));
         if (!reported.empty())
-            plan_report(now() + options.longest_gap);
+            plan_report(now() + options.max_gap);
     }
 
     /// @return the instance that schedules a server's domain; empty if it is
--- a/libs/mintknotd-platform/scheduling/tests/test_messages.cpp
+++ b/libs/mintknotd-platform/scheduling/tests/test_messages.cpp
@@ -44,7 +44,7 @@
     cr_assert(got.placed.tokens_ahead == 500.0);
     cr_assert(got.placed.room.engines == 12);
     cr_assert(got.placed.room.avoided == 3);
-    cr_assert(got.placed.room.most_room == 6400.0);
+    cr_assert(got.placed.room.max_room == 6400.0);
     cr_assert(got.placed.room.forecast.wait == base::milliseconds(120));
     cr_assert(got.placed.room.forecast.release_rate == 48.5);
     sent.placed.room.forecast.wait.reset();
--- a/libs/mintknotd-platform/state/include/mintknot/state/store_reader.hpp
+++ b/libs/mintknotd-platform/state/include/mintknot/state/store_reader.hpp
@@ -20,8 +20,8 @@
     /// The same while the store is out of reach, so that its return is noticed
     /// although there is nothing new.
     base::milliseconds wait_when_lost{50};
-    base::milliseconds first_backoff{60};
-    base::milliseconds longest_backoff{800};
+    base::milliseconds initial_backoff{60};
+    base::milliseconds max_backoff{800};
     /// Changes that follow each other more closely are fetched together: each
     /// call to the store has a price.
     base::milliseconds gather{300};
--- a/libs/mintknotd-platform/state/src/replica.cpp
+++ b/libs/mintknotd-platform/state/src/replica.cpp
@@ -13,7 +13,7 @@
 
 /// Removed documents that are remembered, so that late news of them is known
 /// to be old.
-constexpr std::size_t most_removed = 4096;
+constexpr std::size_t max_removed = 4096;
 
 /// One collection of a peer's snapshot.
 struct snapshot_part {
@@ -120,7 +120,7 @@
         return;
     all.by_key[change.key] = change;
     all.newest = std::max(all.newest, change.version);
-    if (all.by_key.size() > most_removed)
+    if (all.by_key.size() > max_removed)
         forget_removed(all);
 }
 
--- a/libs/mintknotd-platform/state/src/store_reader.cpp
+++ b/libs/mintknotd-platform/state/src/store_reader.cpp
@@ -133,7 +133,7 @@
                            {"silent_ms", silence().count()}});
     const bool lost = std::exchange(reachable_, false);
     backoff_ = std::clamp(
-        backoff_ * 2, options_.first_backoff, options_.longest_backoff);
+        backoff_ * 2, options_.initial_backoff, options_.max_backoff);
     const double spread = 0.5 + draw_();
     timer_.start(
         base::milliseconds(static_cast<std::int64_t>(
--- a/libs/mintknotd-platform/traffic/include/mintknot/traffic/configuration.hpp
+++ b/libs/mintknotd-platform/traffic/include/mintknot/traffic/configuration.hpp
@@ -40,7 +40,7 @@
     base::milliseconds target_latency{1000};
     base::milliseconds target_gap{0}; ///< Longest pause between events.
     int priority = 0;                 ///< 0 is the highest.
-    int most_attempts = 1;
+    int max_attempts = 1;
     bool resumable = false;
     std::vector<weighted_service> services;
 
@@ -60,8 +60,8 @@
 struct service {
     std::string name;
     std::string health_path;
-    std::size_t most_connections = 100; ///< At one server, from all callers.
-    std::optional<engine_spec> engine;  ///< Only for model engines.
+    std::size_t max_connections = 100; ///< At one server, from all callers.
+    std::optional<engine_spec> engine; ///< Only for model engines.
 };
 
 /// Bounds on what a caller may send, and how long it may take.
--- a/libs/mintknotd-platform/traffic/src/server_table.cpp
+++ b/libs/mintknotd-platform/traffic/src/server_table.cpp
@@ -8,7 +8,7 @@
 
 /// How far versions may run ahead before the trace of a server that has gone
 /// is dropped.
-constexpr std::size_t most_traces = 4096;
+constexpr std::size_t max_traces = 4096;
 
 bool is_open(const std::optional<server>& value) {
     return value && !value->draining;
@@ -40,7 +40,7 @@
 }
 
 void drop_traces(server_table& table) {
-    if (table.by_id.size() <= most_traces)
+    if (table.by_id.size() <= max_traces)
         return;
     std::erase_if(table.by_id, [&table](const auto& item) {
         return !item.second.value && item.second.version != table.newest;
--- a/testing/compatibility/test_router.cpp
+++ b/testing/compatibility/test_router.cpp
@@ -204,7 +204,7 @@
         value.grace.count(), value.drain_bound.count(),
         value.retry_bounds.ratio, value.retry_bounds.extra,
         value.retry_bounds.window.count(), value.order_lease.count(),
-        value.relay.most_callers, value.relay.most_body_bytes,
+        value.relay.max_callers, value.relay.max_body_bytes,
         base::to_string(read->store), platform::names::settings_variable);
 }
 
--- a/testing/soak/src/soak_checks.cpp
+++ b/testing/soak/src/soak_checks.cpp
@@ -13,7 +13,7 @@
 /// How long after its caller has left a request may still reach a server.
 constexpr base::milliseconds leaving_slack{1000};
 
-int most_runs(request_kind kind) {
+int max_runs(request_kind kind) {
     const bool repeatable =
         kind == request_kind::safe || kind == request_kind::resumable;
     return repeatable ? 2 : 1;
@@ -60,7 +60,7 @@
     for (const caller_record& record : records) {
         const auto found = notes.runs.find(record.id);
         const int count = found == notes.runs.end() ? 0 : found->second;
-        if (count > most_runs(record.kind))
+        if (count > max_runs(record.kind))
             broken.push_back(fmt::format("{} ran {} times", record.id, count));
         const std::string expected = expected_body(record);
         const bool success = record.status >= 200 && record.status < 300;
@@ -73,7 +73,7 @@
             broken.push_back(
                 fmt::format("{} was answered without a run", record.id));
         if (record.status == status_unavailable) {
-            if (count > 0 && most_runs(record.kind) == 1)
+            if (count > 0 && max_runs(record.kind) == 1)
                 broken.push_back(fmt::format(
                     "{} was refused as not run, but ran", record.id));
             if (!record.retry_after)
--- a/testing/soak/src/soak_faults.cpp
+++ b/testing/soak/src/soak_faults.cpp
@@ -14,9 +14,9 @@
 using standins::silent_way;
 
 /// Fewest and most milliseconds between two faults.
-constexpr int least_gap = 150;
-constexpr int most_gap = 900;
-constexpr int longest_pause = 1500;
+constexpr int min_wake_gap = 150;
+constexpr int max_gap = 900;
+constexpr int max_pause = 1500;
 constexpr int shortest_link_fault = 50;
 constexpr int longest_link_fault = 2500;
 constexpr base::milliseconds late{180};
@@ -89,7 +89,7 @@
 }
 
 void fault_injector::plan_next() {
-    timer_.start(base::milliseconds(draw(least_gap, most_gap)), [this] {
+    timer_.start(base::milliseconds(draw(min_wake_gap, max_gap)), [this] {
         if (kinds_ == fault_kinds::planned_work)
             planned_work();
         else
@@ -232,7 +232,7 @@
 void fault_injector::pause(soak_process& process, const std::string& name) {
     if (process.paused)
         return;
-    const int time = draw(100, longest_pause);
+    const int time = draw(100, max_pause);
     note(fmt::format("pause a {} for {} ms", name, time));
     process.paused = true;
     process.running->signal(SIGSTOP);
