--- a/libs/mintknotd-platform/orders/include/mintknot/orders/phase_balancer.hpp
+++ b/libs/mintknotd-platform/orders/include/mintknot/orders/phase_balancer.hpp
@@ -38,8 +38,8 @@
     /// @param responsible whether this instance is the one to look after
     /// orders; two that believe it compete for the lease.
     phase_balancer(
-        relay::router& router, state::store& store, balancer_options options,
-        std::function<bool()> responsible);
+        relay::router_context& context, state::store& store,
+        balancer_options options, std::function<bool()> responsible);
     ~phase_balancer();
     phase_balancer(const phase_balancer&) = delete;
     phase_balancer& operator=(const phase_balancer&) = delete;
--- a/libs/mintknotd-platform/orders/src/phase_balancer.cpp
+++ b/libs/mintknotd-platform/orders/src/phase_balancer.cpp
@@ -39,22 +39,22 @@
     };
 
     impl(
-        relay::router& shared, state::store& rows, balancer_options settings,
-        std::function<bool()> decide)
-        : router(shared)
+        relay::router_context& shared, state::store& rows,
+        balancer_options settings, std::function<bool()> decide)
+        : context(shared)
         , store(rows)
         , options(std::move(settings))
         , responsible(std::move(decide))
         , timer(shared.loop) {}
 
-    base::steady_time now() const { return router.loop.now(); }
+    base::steady_time now() const { return context.loop.now(); }
 
     void tick() {
         timer.start(options.period, [this] { tick(); });
-        if (router.state.config == nullptr || router.state.stopping ||
+        if (context.state.config == nullptr || context.state.stopping ||
             !responsible())
             return;
-        for (const auto& [name, service] : router.state.config->services)
+        for (const auto& [name, service] : context.state.config->services)
             if (service.engine)
                 look_after(name);
     }
@@ -62,7 +62,7 @@
     work& work_for(const std::string& service) {
         auto& entry = works[service];
         if (entry == nullptr)
-            entry = std::make_unique<work>(router.loop);
+            entry = std::make_unique<work>(context.loop);
         return *entry;
     }
 
@@ -83,23 +83,23 @@
     std::optional<policy::phase_change>
     plan(const std::string& service, work& at) {
         forget_changed(at);
-        traffic::expire(router.state.loads, now());
+        traffic::expire(context.state.loads, now());
         std::vector<policy::planned_engine> engines;
         for (const traffic::server* engine :
-             traffic::open_servers(router.state.servers, service)) {
+             traffic::open_servers(context.state.servers, service)) {
             const auto changing = at.changing.find(engine->id);
             if (changing != at.changing.end())
                 engines.push_back({engine, changing->second.to, true});
             else
                 engines.push_back(
                     {engine, engine->phase,
-                     policy::avoided(router.state.health, engine->id, now())});
+                     policy::avoided(context.state.health, engine->id, now())});
         }
         return policy::plan_change(
-            engines, router.state.demands[service],
+            engines, context.state.demands[service],
             [this](const traffic::server& engine) {
                 const traffic::server_load load =
-                    traffic::total(router.state.loads, engine.id);
+                    traffic::total(context.state.loads, engine.id);
                 return load.prefill_tokens + load.memory_tokens;
             });
     }
@@ -107,7 +107,7 @@
     void forget_changed(work& at) {
         std::erase_if(at.changing, [this](const auto& item) {
             const traffic::server* engine =
-                traffic::find(router.state.servers, item.first);
+                traffic::find(context.state.servers, item.first);
             return now() > item.second.until || engine == nullptr ||
                    engine->phase == item.second.to;
         });
@@ -158,7 +158,7 @@
         const std::string& service, const policy::phase_change& change,
         base::steady_time asked, const state::write_answer& answer) {
         work& at = work_for(service);
-        router.log.write(
+        context.log.write(
             "lease", {{"service", service},
                       {"outcome", state::to_string(answer.result)},
                       {"fence", static_cast<std::int64_t>(answer.version)}});
@@ -179,9 +179,9 @@
     /// Keeps everybody away from an engine that is about to change.
     void announce(const std::string& server_id) {
         policy::note_change(
-            router.state.health, server_id, now() + options.change_time);
-        if (router.state.on_order)
-            router.state.on_order();
+            context.state.health, server_id, now() + options.change_time);
+        if (context.state.on_order)
+            context.state.on_order();
     }
 
     /// Sends a call to the engine; `then` is called once, also without answer.
@@ -192,7 +192,7 @@
         at.body.clear();
         at.limit.start(order_time, then);
         at.call = upstream::call::start(
-            router.pool, {engine.id, engine.where},
+            context.pool, {engine.id, engine.where},
             {std::move(request.head),
              std::make_shared<const std::string>(std::move(request.body))},
             {},
@@ -209,13 +209,13 @@
     ask_report(const std::string& service, const policy::phase_change& change) {
         work& at = work_for(service);
         const traffic::server* engine =
-            traffic::find(router.state.servers, change.server_id);
+            traffic::find(context.state.servers, change.server_id);
         if (engine == nullptr) {
             rest(at, options.pause);
             return;
         }
         call_engine(
-            at, *engine, {router.protocol.report(engine->id), {}},
+            at, *engine, {context.protocol.report(engine->id), {}},
             [this, service, change] { on_report(service, change); });
     }
 
@@ -225,7 +225,7 @@
         at.limit.stop();
         at.call.reset();
         const auto report = at.status == status_ok
-                                ? router.protocol.read_report(at.body)
+                                ? context.protocol.read_report(at.body)
                                 : std::nullopt;
         if (!report || report->busy || report->phase == change.to) {
             rest(at, options.pause);
@@ -239,7 +239,7 @@
         std::int64_t orders_taken) {
         work& at = work_for(service);
         const traffic::server* engine =
-            traffic::find(router.state.servers, change.server_id);
+            traffic::find(context.state.servers, change.server_id);
         if (engine == nullptr || engine->draining ||
             !policy::may_order(at.lease, options.terms, now())) {
             rest(at, options.pause);
@@ -250,7 +250,7 @@
         const relay::phase_order order{
             change.to, options.holder, at.lease.fence, orders_taken};
         call_engine(
-            at, *engine, router.protocol.order(order, engine->id),
+            at, *engine, context.protocol.order(order, engine->id),
             [this, service, change] { on_ordered(service, change); });
     }
 
@@ -259,7 +259,7 @@
         work& at = work_for(service);
         at.limit.stop();
         at.call.reset();
-        router.log.write(
+        context.log.write(
             "order", {{"service", service},
                       {"server", change.server_id},
                       {"phase", traffic::to_string(change.to)},
@@ -273,7 +273,7 @@
         rest(at, taken ? options.pause : refused_pause);
     }
 
-    relay::router& router;
+    relay::router_context& context;
     state::store& store;
     balancer_options options;
     std::function<bool()> responsible;
@@ -282,10 +282,10 @@
 };
 
 phase_balancer::phase_balancer(
-    relay::router& router, state::store& store, balancer_options options,
-    std::function<bool()> responsible)
+    relay::router_context& context, state::store& store,
+    balancer_options options, std::function<bool()> responsible)
     : impl_(std::make_unique<impl>(
-          router, store, std::move(options), std::move(responsible))) {}
+          context, store, std::move(options), std::move(responsible))) {}
 
 phase_balancer::~phase_balancer() = default;
 
--- a/libs/mintknotd-platform/orders/tests/test_phase_balancer.cpp
+++ b/libs/mintknotd-platform/orders/tests/test_phase_balancer.cpp
@@ -81,7 +81,7 @@
     }
     std::unique_ptr<phase_balancer> start() {
         auto balancer = std::make_unique<phase_balancer>(
-            relay.shared, store, options, [this] { return responsible; });
+            relay.context, store, options, [this] { return responsible; });
         balancer->start();
         return balancer;
     }
--- a/libs/mintknotd-platform/peers/include/mintknot/peers/peer_table.hpp
+++ b/libs/mintknotd-platform/peers/include/mintknot/peers/peer_table.hpp
@@ -69,10 +69,11 @@
 /// @return how often the own data centre is told of a state that does not
 /// change: what an instance sends is not to grow with the group.
 base::milliseconds
-near_period(const peer_table& table, base::milliseconds calm);
+near_period(const peer_table& table, base::milliseconds base_period);
 
 /// @return how often other data centres are told: they need it less.
-base::milliseconds far_period(const peer_table& table, base::milliseconds calm);
+base::milliseconds
+far_period(const peer_table& table, base::milliseconds base_period);
 
 /// @return how long an instance may be silent.
 base::milliseconds life(const peer_table& table);
--- a/libs/mintknotd-platform/peers/src/peer_table.cpp
+++ b/libs/mintknotd-platform/peers/src/peer_table.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Groups up to this size are told at the calm period, larger ones more
+/// Groups up to this size are told at the base period, larger ones more
 /// rarely.
 constexpr std::size_t max_group_at_base_period = 40;
 constexpr base::milliseconds max_near_period{1300};
@@ -79,22 +79,22 @@
 }
 
 base::milliseconds
-near_period(const peer_table& table, base::milliseconds calm) {
+near_period(const peer_table& table, base::milliseconds base_period) {
     const std::size_t size = table.heard.size();
     if (size <= max_group_at_base_period)
-        return calm;
+        return base_period;
     return std::min(
         max_near_period,
-        calm * static_cast<std::int64_t>(size) /
+        base_period * static_cast<std::int64_t>(size) /
             static_cast<std::int64_t>(max_group_at_base_period));
 }
 
 base::milliseconds
-far_period(const peer_table& table, base::milliseconds calm) {
+far_period(const peer_table& table, base::milliseconds base_period) {
     const auto far = std::count_if(
         table.heard.begin(), table.heard.end(),
         [&](const auto& item) { return is_far(table, item.second); });
-    return std::max(near_period(table, calm), far_heartbeat_gap * far);
+    return std::max(near_period(table, base_period), far_heartbeat_gap * far);
 }
 
 base::milliseconds life(const peer_table& table) {
--- a/libs/mintknotd-platform/peers/tests/test_peer_table.cpp
+++ b/libs/mintknotd-platform/peers/tests/test_peer_table.cpp
@@ -77,7 +77,7 @@
     return table;
 }
 
-constexpr base::milliseconds calm{500};
+constexpr base::milliseconds base_period{500};
 
 } // namespace
 
@@ -85,9 +85,10 @@
     const peer_table table = very_large_group();
     cr_assert(heard_hosts(table, audience::all).size() == 389);
     cr_assert(heard_hosts(table, audience::near).size() == 25);
-    cr_assert(near_period(table, calm) <= std::chrono::milliseconds(1300));
-    cr_assert(far_period(table, calm) >= std::chrono::seconds(7));
-    cr_assert(life(table) >= 3 * far_period(table, calm));
+    cr_assert(
+        near_period(table, base_period) <= std::chrono::milliseconds(1300));
+    cr_assert(far_period(table, base_period) >= std::chrono::seconds(7));
+    cr_assert(life(table) >= 3 * far_period(table, base_period));
 }
 
 Test(peer_table, small_groups_tell_all_alike) {
@@ -98,14 +99,14 @@
         value.data_centre = "b";
         note(table, host, value, start);
     }
-    cr_assert(near_period(table, calm) == calm);
-    cr_assert(far_period(table, calm) == calm);
+    cr_assert(near_period(table, base_period) == base_period);
+    cr_assert(far_period(table, base_period) == base_period);
     cr_assert(life(table) == peer_life);
 }
 
 Test(peer_table, rare_heartbeats_do_not_make_an_instance_gone) {
     peer_table table = very_large_group();
-    const auto quiet = start + 2 * far_period(table, calm);
+    const auto quiet = start + 2 * far_period(table, base_period);
     cr_assert(expire(table, quiet).empty());
     cr_assert(expire(table, start + std::chrono::minutes(1)).size() == 389);
 }
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/entry_server.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/entry_server.hpp
@@ -18,7 +18,7 @@
 /// Lifetime: the router must outlive the server; close() first.
 class entry_server {
 public:
-    explicit entry_server(router& owner);
+    explicit entry_server(router_context& context);
     ~entry_server();
     entry_server(const entry_server&) = delete;
     entry_server& operator=(const entry_server&) = delete;
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/exchange.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/exchange.hpp
@@ -58,7 +58,7 @@
 
 protected:
     exchange(
-        router& owner, answer_sink& sink, caller_request request,
+        router_context& context, answer_sink& sink, caller_request request,
         std::shared_ptr<const traffic::configuration> config,
         const traffic::route& route, const traffic::service& service);
 
@@ -95,7 +95,7 @@
     call_terms terms_for(const traffic::server& server) const;
     upstream::call_request call_for(const call_terms& terms) const;
 
-    router& owner_;
+    router_context& context_;
     answer_sink& sink_;
     caller_request request_;
     std::shared_ptr<const traffic::configuration> config_;
@@ -119,13 +119,13 @@
 
 /// @return an exchange for a request of the route.
 std::unique_ptr<exchange> make_exchange(
-    router& owner, answer_sink& sink, caller_request request,
+    router_context& context, answer_sink& sink, caller_request request,
     const std::shared_ptr<const traffic::configuration>& config,
     const traffic::route& route, const traffic::service& service);
 
 /// @return the answer to a request that no exchange was made for.
 std::string refusal_text(
-    const router& owner, int status, const std::string& request_id,
+    const router_context& context, int status, const std::string& request_id,
     std::string_view reason, std::optional<base::milliseconds> retry_after,
     bool keep_alive);
 
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
@@ -85,8 +85,9 @@
     std::function<void()> on_order;
 };
 
-/// What every request works with. References outlive all requests.
-struct router {
+/// What every request of an instance works with. References outlive all
+/// requests.
+struct router_context {
     event::loop& loop;
     upstream::connection_pool& pool;
     const dialect& protocol;
@@ -107,16 +108,16 @@
 
 /// Adds work in flight at a server, and tells peers of it.
 void add_load(
-    router& owner, const std::string& server_id,
+    router_context& context, const std::string& server_id,
     const traffic::server_load& load);
 void remove_load(
-    router& owner, const std::string& server_id,
+    router_context& context, const std::string& server_id,
     const traffic::server_load& load);
 
 /// Takes the result of a call; logs when a server is avoided from now on.
 void note_result(
-    router& owner, const std::string& server_id, policy::call_result result,
-    const std::string& request_id);
+    router_context& context, const std::string& server_id,
+    policy::call_result result, const std::string& request_id);
 
 /// Takes what a peer tells of its retries, and forgets what is long past.
 void note_retries(
@@ -144,20 +145,20 @@
 /// 250 ms a fifth fewer callers of plain services came back in vain (56 and 59
 /// of 109 before, 46 and 48 after, two days with a data centre cut off).
 base::milliseconds
-return_after_outage(const router& owner, const std::string& service);
+return_after_outage(const router_context& context, const std::string& service);
 
 /// @return true if one more send for the service is within the allowance.
-bool spend_repeat(router& owner, const std::string& service);
+bool spend_repeat(router_context& context, const std::string& service);
 
 /// Places a request: here and at once, or by asking. @return the question, or
 /// null where `then` has been called already.
 std::unique_ptr<placement_ticket> place_request(
-    router& owner, const traffic::service& target,
+    router_context& context, const traffic::service& target,
     policy::placement_query query, const placement_handler& then);
 
 /// @return the inputs of a selection, valid while the router is not changed.
 policy::selection_inputs
-selection_for(router& owner, const traffic::service& target);
+selection_for(router_context& context, const traffic::service& target);
 
 } // namespace mintknot::relay
 
--- a/libs/mintknotd-platform/relay/src/caller_session.cpp
+++ b/libs/mintknotd-platform/relay/src/caller_session.cpp
@@ -18,12 +18,12 @@
 } // namespace
 
 caller_session::caller_session(
-    router& owner, event::connection_ptr link,
+    router_context& context, event::connection_ptr link,
     std::function<void(caller_session*)> on_end)
-    : owner_(owner)
+    : context_(context)
     , link_(std::move(link))
     , on_end_(std::move(on_end))
-    , timer_(owner.loop) {}
+    , timer_(context.loop) {}
 
 caller_session::~caller_session() {
     release_body();
@@ -47,8 +47,8 @@
 }
 
 traffic::caller_limits caller_session::limits() const {
-    return owner_.state.config == nullptr ? traffic::caller_limits{}
-                                          : owner_.state.config->limits;
+    return context_.state.config == nullptr ? traffic::caller_limits{}
+                                            : context_.state.config->limits;
 }
 
 void caller_session::next_request() {
@@ -61,7 +61,7 @@
 }
 
 void caller_session::arm_idle_timer() {
-    idle_since_ = owner_.loop.now();
+    idle_since_ = context_.loop.now();
     // A little longer than what callers rely on.
     const base::milliseconds time = limits().idle_timeout * 11 / 10;
     timer_.start(time, [this] { close(); });
@@ -83,7 +83,7 @@
     if (closed_)
         return;
     if (idle()) {
-        began_ = owner_.loop.now();
+        began_ = context_.loop.now();
         arm_request_timer();
     }
     pending_.append(bytes);
@@ -147,24 +147,25 @@
         return;
     std::string id;
     if (parser_->has_head())
-        id = owner_.protocol.read_request(parser_->head()).id;
-    owner_.log.write(
+        id = context_.protocol.read_request(parser_->head()).id;
+    context_.log.write(
         "refused", {{"request", id},
                     {"reason", reason},
                     {"status", std::int64_t{status}},
                     {"caller", base::to_string(link_->peer())}});
-    owner_.metrics.count_request({"", std::string(reason), {}, {}});
-    link_->write(refusal_text(owner_, status, id, reason, retry_after, false));
+    context_.metrics.count_request({"", std::string(reason), {}, {}});
+    link_->write(
+        refusal_text(context_, status, id, reason, retry_after, false));
     close();
 }
 
 void caller_session::reserve_body(std::size_t bytes) {
     reserved_body_ += bytes;
-    owner_.state.open_body_bytes += bytes;
+    context_.state.open_body_bytes += bytes;
 }
 
 void caller_session::release_body() {
-    owner_.state.open_body_bytes -= reserved_body_;
+    context_.state.open_body_bytes -= reserved_body_;
     reserved_body_ = 0;
 }
 
@@ -173,22 +174,22 @@
     answering_ = true;
     caller_request request;
     request.head = std::move(parser_->head());
-    request.terms = owner_.protocol.read_request(request.head);
+    request.terms = context_.protocol.read_request(request.head);
     request.arrived = began_;
     const std::string id = request.terms.id;
     const auto answer = [&](int status, std::string_view reason,
                             std::optional<base::milliseconds> retry_after) {
-        owner_.log.write(
+        context_.log.write(
             "refused", {{"request", id},
                         {"reason", reason},
                         {"status", std::int64_t{status}},
                         {"target", request.head.target}});
-        owner_.metrics.count_request({"", std::string(reason), {}, {}});
+        context_.metrics.count_request({"", std::string(reason), {}, {}});
         link_->write(refusal_text(
-            owner_, status, id, reason, retry_after, keep_alive()));
+            context_, status, id, reason, retry_after, keep_alive()));
         answer_done();
     };
-    const auto config = owner_.state.config;
+    const auto config = context_.state.config;
     if (config == nullptr) {
         answer(503, "no_configuration", come_back);
         return;
@@ -201,17 +202,17 @@
         answer(404, "no_route", std::nullopt);
         return;
     }
-    if (owner_.state.stopping &&
-        !policy::may_begin(*route, since_stop(), owner_.state.grace)) {
+    if (context_.state.stopping &&
+        !policy::may_begin(*route, since_stop(), context_.state.grace)) {
         answer(503, "stopping", come_back);
         return;
     }
-    if (owner_.state.open_body_bytes > owner_.options.max_body_bytes) {
+    if (context_.state.open_body_bytes > context_.options.max_body_bytes) {
         answer(503, "memory_full", come_back);
         return;
     }
     const auto service =
-        config->services.find(traffic::choose_service(*route, owner_.draw()));
+        config->services.find(traffic::choose_service(*route, context_.draw()));
     if (service == config->services.end()) {
         answer(503, "unknown_service", come_back);
         return;
@@ -220,17 +221,17 @@
         request.body = std::make_shared<const std::string>(std::move(body_));
     body_.clear();
     exchange_ = make_exchange(
-        owner_, *this, std::move(request), config, *route, service->second);
+        context_, *this, std::move(request), config, *route, service->second);
     exchange_->start();
 }
 
 base::milliseconds caller_session::since_stop() const {
     return std::chrono::duration_cast<base::milliseconds>(
-        owner_.loop.now() - owner_.state.stop_began);
+        context_.loop.now() - context_.state.stop_began);
 }
 
 bool caller_session::keep_alive() const {
-    return request_keep_alive_ && !owner_.state.stopping;
+    return request_keep_alive_ && !context_.state.stopping;
 }
 
 void caller_session::whole(http1::response_head head, std::string body) {
@@ -282,7 +283,7 @@
         link_->reset();
     else
         link_->close();
-    owner_.loop.post([self = shared_from_this()] {
+    context_.loop.post([self = shared_from_this()] {
         self->exchange_.reset();
         self->on_end_(self.get());
     });
@@ -294,19 +295,19 @@
 
 void caller_session::answer_done() {
     release_body();
-    if (!request_keep_alive_ || owner_.state.stopping) {
+    if (!request_keep_alive_ || context_.state.stopping) {
         close();
         return;
     }
     // The exchange is on the stack: let it go afterwards.
-    owner_.loop.post([self = shared_from_this()] {
+    context_.loop.post([self = shared_from_this()] {
         self->exchange_.reset();
         if (self->closed_)
             return;
         self->answering_ = false;
         self->next_request();
         if (!self->pending_.empty()) {
-            self->began_ = self->owner_.loop.now();
+            self->began_ = self->context_.loop.now();
             self->arm_request_timer();
         }
         self->link_->resume_reading();
@@ -320,7 +321,7 @@
     closed_ = true;
     timer_.stop();
     link_->abort();
-    owner_.loop.post([self = shared_from_this()] {
+    context_.loop.post([self = shared_from_this()] {
         if (self->exchange_ != nullptr)
             self->exchange_->caller_left();
         self->exchange_.reset();
@@ -334,7 +335,7 @@
     closed_ = true;
     timer_.stop();
     link_->close();
-    owner_.loop.post([self = shared_from_this()] {
+    context_.loop.post([self = shared_from_this()] {
         self->exchange_.reset();
         self->on_end_(self.get());
     });
--- a/libs/mintknotd-platform/relay/src/caller_session.hpp
+++ b/libs/mintknotd-platform/relay/src/caller_session.hpp
@@ -20,7 +20,7 @@
       public std::enable_shared_from_this<caller_session> {
 public:
     caller_session(
-        router& owner, event::connection_ptr link,
+        router_context& context, event::connection_ptr link,
         std::function<void(caller_session*)> on_end);
     ~caller_session() override;
 
@@ -60,7 +60,7 @@
     base::milliseconds since_stop() const;
     traffic::caller_limits limits() const;
 
-    router& owner_;
+    router_context& context_;
     event::connection_ptr link_;
     std::function<void(caller_session*)> on_end_;
     std::unique_ptr<http1::request_parser> parser_;
--- a/libs/mintknotd-platform/relay/src/entry_server.cpp
+++ b/libs/mintknotd-platform/relay/src/entry_server.cpp
@@ -9,20 +9,20 @@
 namespace mintknot::relay {
 
 struct entry_server::impl {
-    explicit impl(router& shared)
-        : owner(shared)
+    explicit impl(router_context& shared)
+        : context(shared)
         , listener(shared.loop) {}
 
     void accept(event::connection_ptr link) {
-        if (sessions.size() >= owner.options.max_callers &&
+        if (sessions.size() >= context.options.max_callers &&
             !close_longest_idle()) {
             // Closed unread: the caller knows that nothing has run.
             link->abort();
-            owner.log.write("caller_turned_away", {{"reason", "too_many"}});
+            context.log.write("caller_turned_away", {{"reason", "too_many"}});
             return;
         }
         auto session = std::make_shared<caller_session>(
-            owner, std::move(link),
+            context, std::move(link),
             [this](caller_session* ended) { sessions.erase(ended); });
         sessions.emplace(session.get(), session);
         session->start();
@@ -43,14 +43,14 @@
         return true;
     }
 
-    router& owner;
+    router_context& context;
     event::listener listener;
     std::unordered_map<caller_session*, std::shared_ptr<caller_session>>
         sessions;
 };
 
-entry_server::entry_server(router& owner)
-    : impl_(std::make_unique<impl>(owner)) {}
+entry_server::entry_server(router_context& context)
+    : impl_(std::make_unique<impl>(context)) {}
 
 entry_server::~entry_server() = default;
 
@@ -65,9 +65,9 @@
 }
 
 void entry_server::begin_drain(base::milliseconds grace) {
-    impl_->owner.state.stopping = true;
-    impl_->owner.state.stop_began = impl_->owner.loop.now();
-    impl_->owner.state.grace = grace;
+    impl_->context.state.stopping = true;
+    impl_->context.state.stop_began = impl_->context.loop.now();
+    impl_->context.state.grace = grace;
 }
 
 void entry_server::close_idle() {
--- a/libs/mintknotd-platform/relay/src/exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/exchange.cpp
@@ -24,36 +24,36 @@
 } // namespace
 
 exchange::exchange(
-    router& owner, answer_sink& sink, caller_request request,
+    router_context& context, answer_sink& sink, caller_request request,
     std::shared_ptr<const traffic::configuration> config,
     const traffic::route& route, const traffic::service& service)
-    : owner_(owner)
+    : context_(context)
     , sink_(sink)
     , request_(std::move(request))
     , config_(std::move(config))
     , route_(route)
     , service_(service)
-    , deadline_timer_(owner.loop)
+    , deadline_timer_(context.loop)
     , deadline_(
           request_.arrived +
           std::min(
               route.timeout,
               request_.terms.deadline.value_or(default_deadline))) {
-    ++owner_.state.open_requests;
+    ++context_.state.open_requests;
 }
 
 exchange::~exchange() {
-    --owner_.state.open_requests;
+    --context_.state.open_requests;
 }
 
 void exchange::start() {
     policy::earn(
-        owner_.state.allowances[service_.name], owner_.state.retry_bounds,
-        owner_.loop.now());
+        context_.state.allowances[service_.name], context_.state.retry_bounds,
+        context_.loop.now());
     if (request_.terms.deadline)
         policy::note_deadline(
-            owner_.state.deadlines[route_.name], *request_.terms.deadline,
-            owner_.loop.now());
+            context_.state.deadlines[route_.name], *request_.terms.deadline,
+            context_.loop.now());
     deadline_timer_.start(deadline_, [this] { on_deadline(); });
     run();
 }
@@ -76,12 +76,12 @@
 }
 
 base::milliseconds exchange::time_left() const {
-    return base::time_left(deadline_, owner_.loop.now());
+    return base::time_left(deadline_, context_.loop.now());
 }
 
 base::milliseconds exchange::since_arrival() const {
     return std::chrono::duration_cast<base::milliseconds>(
-        owner_.loop.now() - request_.arrived);
+        context_.loop.now() - request_.arrived);
 }
 
 void exchange::raise(base::verdict seen) {
@@ -102,9 +102,9 @@
         retry_after = come_back;
     http1::response_head head;
     head.status = status;
-    head.fields = owner_.protocol.own_answer(request_.terms.id, retry_after);
+    head.fields = context_.protocol.own_answer(request_.terms.id, retry_after);
     note_first_byte();
-    owner_.log.write(
+    context_.log.write(
         "given_up", {{"request", request_.terms.id},
                      {"route", route_.name},
                      {"reason", reason},
@@ -138,8 +138,8 @@
 }
 
 bool exchange::returned() const {
-    const auto found = owner_.state.deadlines.find(route_.name);
-    return found != owner_.state.deadlines.end() &&
+    const auto found = context_.state.deadlines.find(route_.name);
+    return found != context_.state.deadlines.end() &&
            policy::has_returned(found->second, request_.terms.deadline);
 }
 
@@ -153,7 +153,7 @@
 void exchange::break_answer(std::string_view reason) {
     if (finished_)
         return;
-    owner_.log.write(
+    context_.log.write(
         "broken_off", {{"request", request_.terms.id},
                        {"route", route_.name},
                        {"reason", reason},
@@ -166,9 +166,9 @@
 void exchange::finish(std::string_view outcome) {
     finished_ = true;
     deadline_timer_.stop();
-    owner_.metrics.count_request(
+    context_.metrics.count_request(
         {route_.name, std::string(outcome), first_byte_, since_arrival()});
-    owner_.log.write(
+    context_.log.write(
         "finished",
         {{"request", request_.terms.id},
          {"route", route_.name},
@@ -182,7 +182,7 @@
 }
 
 bool exchange::belongs(const http1::response_head& head) const {
-    const answer_terms terms = owner_.protocol.read_answer(head);
+    const answer_terms terms = context_.protocol.read_answer(head);
     return terms.request_id == request_.terms.id ||
            (terms.request_id.empty() && terms.not_executed);
 }
@@ -195,26 +195,26 @@
 }
 
 upstream::call_request exchange::call_for(const call_terms& terms) const {
-    return {owner_.protocol.outgoing(request_.head, terms), request_.body};
+    return {context_.protocol.outgoing(request_.head, terms), request_.body};
 }
 
 std::unique_ptr<exchange> make_exchange(
-    router& owner, answer_sink& sink, caller_request request,
+    router_context& context, answer_sink& sink, caller_request request,
     const std::shared_ptr<const traffic::configuration>& config,
     const traffic::route& route, const traffic::service& service) {
     if (service.engine && route.kind == traffic::route_kind::streaming)
         return std::make_unique<generation_exchange>(
-            owner, sink, std::move(request), config, route, service);
+            context, sink, std::move(request), config, route, service);
     return std::make_unique<plain_exchange>(
-        owner, sink, std::move(request), config, route, service);
+        context, sink, std::move(request), config, route, service);
 }
 
 std::string refusal_text(
-    const router& owner, int status, const std::string& request_id,
+    const router_context& context, int status, const std::string& request_id,
     std::string_view reason, std::optional<base::milliseconds> retry_after,
     bool keep_alive) {
     return http1::text_response(
-        status, owner.protocol.own_answer(request_id, retry_after),
+        status, context.protocol.own_answer(request_id, retry_after),
         std::string(reason) + "\n", keep_alive);
 }
 
--- a/libs/mintknotd-platform/relay/src/generation_decode.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_decode.cpp
@@ -21,7 +21,7 @@
 
 void generation_exchange::start_decode() {
     const traffic::server* engine =
-        traffic::find(owner_.state.servers, decode_server_);
+        traffic::find(context_.state.servers, decode_server_);
     if (engine == nullptr || engine->draining) {
         place();
         return;
@@ -36,7 +36,7 @@
     const bool with_result = result_usable();
     took_result_ = with_result;
     decode_tried_.insert(decode_server_);
-    decode_started_ = owner_.loop.now();
+    decode_started_ = context_.loop.now();
     ++sends_;
     ++arrivals_;
     ++runs_;
@@ -44,7 +44,7 @@
     streaming_ = false;
     splitter_ = {};
     failure_body_.clear();
-    owner_.log.write(
+    context_.log.write(
         "decode", {{"request", request_.terms.id},
                    {"route", route_.name},
                    {"server", decode_server_},
@@ -59,7 +59,7 @@
     if (with_result)
         terms.prefill_result = kept_.place;
     decode_call_ = upstream::call::start(
-        owner_.pool, {engine->id, engine->where}, call_for(terms), {},
+        context_.pool, {engine->id, engine->where}, call_for(terms), {},
         {[this](const http1::response_head& head) { return belongs(head); },
          [this](http1::response_head& head) { on_decode_head(head); },
          [this](std::string_view piece) { on_decode_body(piece); },
@@ -76,7 +76,7 @@
 
 void generation_exchange::on_decode_head(http1::response_head& head) {
     answer_ = head;
-    answer_terms_ = owner_.protocol.read_answer(head);
+    answer_terms_ = context_.protocol.read_answer(head);
     streaming_ = is_success(head.status) && answer_terms_.sealed &&
                  !answer_terms_.encoded;
     if (!streaming_)
@@ -117,11 +117,11 @@
 }
 
 void generation_exchange::note_pace_of_start() {
-    const base::steady_time now = owner_.loop.now();
+    const base::steady_time now = context_.loop.now();
     const auto since = [now](base::steady_time when) {
         return std::chrono::duration_cast<base::milliseconds>(now - when);
     };
-    policy::phase_demand& demand = owner_.state.demands[service_.name];
+    policy::phase_demand& demand = context_.state.demands[service_.name];
     policy::note_start(demand, since(placed_at_));
     if (took_result_)
         policy::note_hand_over(demand, since(decode_started_));
@@ -141,7 +141,7 @@
         pass_on(splitter_.rest);
         splitter_.rest.clear();
         note_result(
-            owner_, decode_server_, policy::call_result::good,
+            context_, decode_server_, policy::call_result::good,
             request_.terms.id);
         note_demand();
         decode_call_.reset();
@@ -163,7 +163,8 @@
         return;
     }
     note_result(
-        owner_, decode_server_, policy::call_result::failed, request_.terms.id);
+        context_, decode_server_, policy::call_result::failed,
+        request_.terms.id);
     release_decode();
     if (head_sent_)
         break_answer("decode_failed");
@@ -178,9 +179,9 @@
     if (memory <= 0.0)
         return;
     policy::note_decode(
-        owner_.state.demands[service_.name], decode_reserved_ / memory,
+        context_.state.demands[service_.name], decode_reserved_ / memory,
         std::chrono::duration_cast<base::milliseconds>(
-            owner_.loop.now() - decode_started_));
+            context_.loop.now() - decode_started_));
 }
 
 void generation_exchange::after_rejected_decode() {
@@ -188,11 +189,11 @@
     ++rejected_;
     const bool misdirected = answer_.status == status_misdirected;
     note_result(
-        owner_, decode_server_,
+        context_, decode_server_,
         misdirected ? policy::call_result::misdirected
                     : policy::call_result::rejected,
         request_.terms.id);
-    owner_.log.write(
+    context_.log.write(
         "decode_rejected", {{"request", request_.terms.id},
                             {"server", decode_server_},
                             {"status", std::int64_t{answer_.status}},
@@ -208,7 +209,7 @@
             give_up("decode_rejected");
         return;
     }
-    owner_.metrics.count_repeat("decode_rejected");
+    context_.metrics.count_repeat("decode_rejected");
     // A second rejection points at the result rather than at the engines.
     if (rejected_ > 1)
         drop_result();
@@ -223,7 +224,7 @@
         --sends_;
         --arrivals_;
         note_result(
-            owner_, decode_server_, policy::call_result::unreachable,
+            context_, decode_server_, policy::call_result::unreachable,
             request_.terms.id);
         release_decode();
         if (++unreachable_ > max_unreachable)
@@ -241,7 +242,7 @@
     // request may go on elsewhere.
     if (!may_resume() || !prepay(1)) {
         note_result(
-            owner_, decode_server_, policy::call_result::silent,
+            context_, decode_server_, policy::call_result::silent,
             request_.terms.id);
         return;
     }
@@ -257,7 +258,7 @@
 
 void generation_exchange::go_on_elsewhere(
     policy::call_result result, std::string_view reason) {
-    note_result(owner_, decode_server_, result, request_.terms.id);
+    note_result(context_, decode_server_, result, request_.terms.id);
     release_decode();
     if (!may_resume()) {
         if (head_sent_)
@@ -266,13 +267,13 @@
             give_up(reason);
         return;
     }
-    owner_.log.write(
+    context_.log.write(
         "resumed",
         {{"request", request_.terms.id},
          {"reason", reason},
          {"last_event", static_cast<std::int64_t>(last_event_.value_or(0))},
          {"after_ms", since_arrival().count()}});
-    owner_.metrics.count_repeat(reason);
+    context_.metrics.count_repeat(reason);
     prefill_tried_.clear();
     place();
 }
--- a/libs/mintknotd-platform/relay/src/generation_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_exchange.cpp
@@ -23,13 +23,13 @@
 } // namespace
 
 generation_exchange::generation_exchange(
-    router& owner, answer_sink& sink, caller_request request,
+    router_context& context, answer_sink& sink, caller_request request,
     std::shared_ptr<const traffic::configuration> config,
     const traffic::route& route, const traffic::service& service)
     : exchange(
-          owner, sink, std::move(request), std::move(config), route, service)
-    , wait_timer_(owner.loop)
-    , silence_timer_(owner.loop) {}
+          context, sink, std::move(request), std::move(config), route, service)
+    , wait_timer_(context.loop)
+    , silence_timer_(context.loop) {}
 
 generation_exchange::~generation_exchange() {
     cancel_calls();
@@ -63,13 +63,13 @@
 }
 
 bool generation_exchange::result_usable() const {
-    return !kept_.server.empty() && owner_.loop.now() < kept_.until;
+    return !kept_.server.empty() && context_.loop.now() < kept_.until;
 }
 
 base::milliseconds generation_exchange::read_limit() const {
     const base::milliseconds left =
         route_.target_latency - since_arrival() -
-        policy::mean_hand_over(owner_.state.demands[service_.name]);
+        policy::mean_hand_over(context_.state.demands[service_.name]);
     // What is late in any case need not slow a decode engine down.
     return left > base::milliseconds{0} ? left : route_.target_latency;
 }
@@ -93,13 +93,13 @@
 void generation_exchange::place() {
     release_decode();
     placement_ = place_request(
-        owner_, service_, query(),
+        context_, service_, query(),
         [this](const policy::placement& placed) { on_placed(placed); });
 }
 
 void generation_exchange::on_placed(const policy::placement& placed) {
     const traffic::server* decode =
-        traffic::find(owner_.state.servers, placed.server);
+        traffic::find(context_.state.servers, placed.server);
     if (decode == nullptr || decode->draining) {
         policy::room_summary seen = placed.room;
         // A scheduler that does not know yet that the engine leaves will name
@@ -112,10 +112,10 @@
     placed_by_ = placed.by;
     decode_server_ = decode->id;
     decode_reserved_ = memory_needed();
-    placed_at_ = owner_.loop.now();
-    add_load(owner_, decode_server_, {1, 0.0, decode_reserved_});
+    placed_at_ = context_.loop.now();
+    add_load(context_, decode_server_, {1, 0.0, decode_reserved_});
     const traffic::server* prefill =
-        traffic::find(owner_.state.servers, placed.prefill);
+        traffic::find(context_.state.servers, placed.prefill);
     if (prefill != nullptr && may_send(calls_with_prefill))
         start_prefill(*prefill, placed.tokens_ahead);
     else
@@ -124,7 +124,7 @@
 
 bool generation_exchange::prepay(int calls) {
     while (prepaid_ < calls) {
-        if (!spend_repeat(owner_, service_.name))
+        if (!spend_repeat(context_, service_.name))
             return false;
         ++prepaid_;
     }
@@ -147,7 +147,7 @@
 void generation_exchange::wait_for_room(const policy::room_summary& seen) {
     const auto expected = expected_wait(seen.forecast);
     const base::milliseconds start =
-        policy::mean_start(owner_.state.demands[service_.name]);
+        policy::mean_start(context_.state.demands[service_.name]);
     const policy::unplaced_request unplaced = describe_unplaced();
     // A stream that has begun is worth waiting for, whatever is foreseen.
     if (head_sent_ || policy::should_wait(unplaced, expected, start)) {
@@ -165,7 +165,7 @@
         wait_timer_.start(unreachable_pause, [this] { place(); });
         return;
     }
-    give_up("server_unreachable", return_after_outage(owner_, service_.name));
+    give_up("server_unreachable", return_after_outage(context_, service_.name));
 }
 
 policy::unplaced_request generation_exchange::describe_unplaced() const {
@@ -184,13 +184,14 @@
 std::optional<base::milliseconds> generation_exchange::expected_wait(
     const policy::room_forecast& forecast) const {
     const double ahead =
-        owner_.queue.tokens_ahead(service_.name, rank(false)) +
-        tokens_ahead_elsewhere(owner_.state, service_.name, owner_.loop.now());
+        context_.queue.tokens_ahead(service_.name, rank(false)) +
+        tokens_ahead_elsewhere(
+            context_.state, service_.name, context_.loop.now());
     return policy::wait_behind(forecast, ahead);
 }
 
 void generation_exchange::join_queue(bool late) {
-    queue_ticket_ = owner_.queue.join(
+    queue_ticket_ = context_.queue.join(
         service_.name, rank(late), memory_needed(), [this] { place(); });
 }
 
@@ -198,22 +199,23 @@
     const policy::room_forecast& forecast,
     std::optional<base::milliseconds> expected) {
     return policy::schedule_return(
-        owner_.state.returns[service_.name],
-        {forecast, expected, memory_needed(), owner_.state.instances},
-        owner_.loop.now());
+        context_.state.returns[service_.name],
+        {forecast, expected, memory_needed(), context_.state.instances},
+        context_.loop.now());
 }
 
 void generation_exchange::log_room(
     const policy::room_summary& room,
     std::optional<base::milliseconds> expected) {
-    owner_.log.write(
+    context_.log.write(
         "no_room",
         {{"request", request_.terms.id},
          {"needs", memory_needed()},
          {"engines", std::int64_t{room.engines}},
          {"avoided", std::int64_t{room.avoided}},
          {"most_room", room.max_room},
-         {"peers", static_cast<std::int64_t>(owner_.state.loads.peers.size())},
+         {"peers",
+          static_cast<std::int64_t>(context_.state.loads.peers.size())},
          {"expected_wait_ms", expected.value_or(not_foreseen).count()},
          {"waited_ms", since_arrival().count()}});
 }
@@ -221,7 +223,7 @@
 void generation_exchange::release_decode() {
     if (decode_server_.empty())
         return;
-    remove_load(owner_, decode_server_, {1, 0.0, decode_reserved_});
+    remove_load(context_, decode_server_, {1, 0.0, decode_reserved_});
     decode_server_.clear();
 }
 
--- a/libs/mintknotd-platform/relay/src/generation_exchange.hpp
+++ b/libs/mintknotd-platform/relay/src/generation_exchange.hpp
@@ -15,7 +15,7 @@
 class generation_exchange final : public exchange {
 public:
     generation_exchange(
-        router& owner, answer_sink& sink, caller_request request,
+        router_context& context, answer_sink& sink, caller_request request,
         std::shared_ptr<const traffic::configuration> config,
         const traffic::route& route, const traffic::service& service);
     ~generation_exchange() override;
--- a/libs/mintknotd-platform/relay/src/generation_prefill.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_prefill.cpp
@@ -31,16 +31,16 @@
     const double tokens = request_.terms.prompt_tokens;
     prefill_ahead_ = ahead;
     prefill_expected_ =
-        policy::read_time(owner_.state.rates, engine.id, ahead + tokens);
+        policy::read_time(context_.state.rates, engine.id, ahead + tokens);
     prefill_server_ = engine.id;
     prefill_tried_.insert(engine.id);
-    prefill_started_ = owner_.loop.now();
+    prefill_started_ = context_.loop.now();
     prefill_body_.clear();
     ++prefills_;
     ++arrivals_;
     note_offer();
-    add_load(owner_, prefill_server_, {1, tokens, 0.0});
-    owner_.log.write(
+    add_load(context_, prefill_server_, {1, tokens, 0.0});
+    context_.log.write(
         "prefill", {{"request", request_.terms.id},
                     {"route", route_.name},
                     {"server", prefill_server_},
@@ -55,11 +55,11 @@
     kept_ = {};
     kept_.place = base::to_string(engine.where);
     prefill_call_ = upstream::call::start(
-        owner_.pool, {engine.id, engine.where}, call_for(terms), {},
+        context_.pool, {engine.id, engine.where}, call_for(terms), {},
         {[this](const http1::response_head& head) { return belongs(head); },
          [this](http1::response_head& head) {
              prefill_status_ = head.status;
-             prefill_terms_ = owner_.protocol.read_answer(head);
+             prefill_terms_ = context_.protocol.read_answer(head);
          },
          [this](std::string_view piece) {
              if (prefill_body_.size() < max_result_bytes)
@@ -78,14 +78,14 @@
     if (prefill_server_.empty())
         return;
     remove_load(
-        owner_, prefill_server_, {1, request_.terms.prompt_tokens, 0.0});
+        context_, prefill_server_, {1, request_.terms.prompt_tokens, 0.0});
     prefill_server_.clear();
 }
 
 void generation_exchange::on_prefill_done() {
     const std::optional<prefill_result> result =
         is_success(prefill_status_)
-            ? owner_.protocol.read_prefill(prefill_body_)
+            ? context_.protocol.read_prefill(prefill_body_)
             : std::nullopt;
     if (!result) {
         const bool misdirected = prefill_status_ == status_misdirected;
@@ -97,22 +97,23 @@
             rejected ? "prefill_rejected" : "prefill_failed");
         return;
     }
-    const base::steady_time now = owner_.loop.now();
+    const base::steady_time now = context_.loop.now();
     const auto took =
         std::chrono::duration_cast<base::milliseconds>(now - prefill_started_);
     policy::note_read(
-        owner_.state.rates, prefill_server_,
+        context_.state.rates, prefill_server_,
         request_.terms.prompt_tokens + prefill_ahead_, took);
     if (prefill_ahead_ <= 0.0)
         policy::note_read_alone(
-            owner_.state.demands[service_.name], request_.terms.prompt_tokens,
+            context_.state.demands[service_.name], request_.terms.prompt_tokens,
             took);
     note_result(
-        owner_, prefill_server_, policy::call_result::good, request_.terms.id);
+        context_, prefill_server_, policy::call_result::good,
+        request_.terms.id);
     note_taken_up();
     kept_.server = prefill_server_;
     kept_.handle = result->handle;
-    kept_.place = owner_.protocol.result_place(kept_.place, result->handle);
+    kept_.place = context_.protocol.result_place(kept_.place, result->handle);
     kept_.until = now + service_.engine->handle_life - result_margin;
     end_prefill();
     start_decode();
@@ -132,20 +133,20 @@
 
 void generation_exchange::after_failed_prefill(
     policy::call_result result, std::string_view reason) {
-    note_result(owner_, prefill_server_, result, request_.terms.id);
+    note_result(context_, prefill_server_, result, request_.terms.id);
     if (result == policy::call_result::unreachable)
         --arrivals_;
     else if (
         result == policy::call_result::failed ||
         result == policy::call_result::slow)
         note_taken_up();
-    owner_.log.write(
+    context_.log.write(
         "prefill_again", {{"request", request_.terms.id},
                           {"server", prefill_server_},
                           {"reason", reason},
                           {"after_ms", since_arrival().count()}});
     end_prefill();
-    owner_.metrics.count_repeat(reason);
+    context_.metrics.count_repeat(reason);
     place();
 }
 
@@ -153,15 +154,15 @@
     if (kept_.server.empty())
         return;
     const traffic::server* engine =
-        traffic::find(owner_.state.servers, kept_.server);
+        traffic::find(context_.state.servers, kept_.server);
     const kept_result dropped = std::move(kept_);
     kept_ = {};
-    owner_.log.write(
+    context_.log.write(
         "result_dropped", {{"request", request_.terms.id},
                            {"server", dropped.server},
                            {"handle", dropped.handle}});
     if (engine != nullptr)
-        owner_.releases.add(*engine, dropped.handle);
+        context_.releases.add(*engine, dropped.handle);
 }
 
 } // namespace mintknot::relay
--- a/libs/mintknotd-platform/relay/src/plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.cpp
@@ -26,12 +26,12 @@
 } // namespace
 
 plain_exchange::plain_exchange(
-    router& owner, answer_sink& sink, caller_request request,
+    router_context& context, answer_sink& sink, caller_request request,
     std::shared_ptr<const traffic::configuration> config,
     const traffic::route& route, const traffic::service& service)
     : exchange(
-          owner, sink, std::move(request), std::move(config), route, service)
-    , silence_timer_(owner.loop) {}
+          context, sink, std::move(request), std::move(config), route, service)
+    , silence_timer_(context.loop) {}
 
 plain_exchange::~plain_exchange() {
     release_load();
@@ -55,7 +55,7 @@
 void plain_exchange::release_load() {
     if (server_.empty())
         return;
-    remove_load(owner_, server_, {1, 0.0, 0.0});
+    remove_load(context_, server_, {1, 0.0, 0.0});
     server_.clear();
 }
 
@@ -64,28 +64,28 @@
     wanted.service = service_.name;
     wanted.excluded = tried_;
     placement_ = place_request(
-        owner_, service_, std::move(wanted),
+        context_, service_, std::move(wanted),
         [this](const policy::placement& placed) { on_placed(placed); });
 }
 
 void plain_exchange::on_placed(const policy::placement& placed) {
     const traffic::server* chosen =
-        traffic::find(owner_.state.servers, placed.server);
+        traffic::find(context_.state.servers, placed.server);
     if (chosen == nullptr || chosen->draining) {
         give_up(
-            "no_backend_server", return_after_outage(owner_, service_.name));
+            "no_backend_server", return_after_outage(context_, service_.name));
         return;
     }
     server_ = chosen->id;
     tried_.insert(chosen->id);
-    add_load(owner_, server_, {1, 0.0, 0.0});
+    add_load(context_, server_, {1, 0.0, 0.0});
     ++sends_;
     ++runs_;
     note_offer();
     answer_ = {};
     answer_terms_ = {};
     body_.clear();
-    owner_.log.write(
+    context_.log.write(
         "sent", {{"request", request_.terms.id},
                  {"route", route_.name},
                  {"server", server_},
@@ -94,8 +94,8 @@
                  {"config", static_cast<std::int64_t>(config_->version)},
                  {"left_ms", time_left().count()}});
     call_ = upstream::call::start(
-        owner_.pool, {chosen->id, chosen->where}, call_for(terms_for(*chosen)),
-        {},
+        context_.pool, {chosen->id, chosen->where},
+        call_for(terms_for(*chosen)), {},
         {[this](const http1::response_head& head) { return belongs(head); },
          [this](http1::response_head& head) { on_head(head); },
          [this](std::string_view piece) { on_body(piece); },
@@ -107,7 +107,7 @@
 void plain_exchange::on_head(http1::response_head& head) {
     silence_timer_.stop();
     answer_ = head;
-    answer_terms_ = owner_.protocol.read_answer(head);
+    answer_terms_ = context_.protocol.read_answer(head);
 }
 
 void plain_exchange::on_body(std::string_view piece) {
@@ -151,7 +151,7 @@
     call_.reset();
     if (head_sent_) {
         note_result(
-            owner_, server, policy::call_result::good, request_.terms.id);
+            context_, server, policy::call_result::good, request_.terms.id);
         end_answer("answered");
         return;
     }
@@ -160,7 +160,7 @@
         ++rejected_;
         const bool misdirected = answer_.status == status_misdirected;
         note_result(
-            owner_, server,
+            context_, server,
             misdirected ? policy::call_result::misdirected
                         : policy::call_result::rejected,
             request_.terms.id);
@@ -176,13 +176,13 @@
         answer_terms_.encoded || (success && !answer_terms_.sealed);
     const bool failed = spoiled || answer_.status >= 500;
     note_result(
-        owner_, server,
+        context_, server,
         failed ? policy::call_result::failed : policy::call_result::good,
         request_.terms.id);
     if (failed && may_repeat_after_run() &&
         time_left() > base::milliseconds{0} &&
-        spend_repeat(owner_, service_.name)) {
-        owner_.metrics.count_repeat("server_failure");
+        spend_repeat(context_, service_.name)) {
+        context_.metrics.count_repeat("server_failure");
         send();
         return;
     }
@@ -201,19 +201,20 @@
         --runs_;
         ++unreachable_;
         note_result(
-            owner_, server, policy::call_result::unreachable,
+            context_, server, policy::call_result::unreachable,
             request_.terms.id);
         // Nothing was sent, so that this costs no allowance.
         if (unreachable_ > max_unreachable)
             give_up(
                 "server_unreachable",
-                return_after_outage(owner_, service_.name));
+                return_after_outage(context_, service_.name));
         else
             send();
         return;
     }
     raise(base::verdict::may_have_run);
-    note_result(owner_, server, policy::call_result::failed, request_.terms.id);
+    note_result(
+        context_, server, policy::call_result::failed, request_.terms.id);
     if (head_sent_)
         break_answer("server_broke_off");
     else
@@ -221,23 +222,24 @@
 }
 
 void plain_exchange::on_silence() {
-    note_result(owner_, server_, policy::call_result::slow, request_.terms.id);
-    if (!may_repeat_after_run() || !spend_repeat(owner_, service_.name))
+    note_result(
+        context_, server_, policy::call_result::slow, request_.terms.id);
+    if (!may_repeat_after_run() || !spend_repeat(context_, service_.name))
         return;
     raise(base::verdict::may_have_run);
     cancel_calls();
-    owner_.metrics.count_repeat("server_silent");
+    context_.metrics.count_repeat("server_silent");
     send();
 }
 
 void plain_exchange::send_again(std::string_view reason) {
     const bool allowed = answer_terms_.not_executed || may_repeat_after_run() ||
                          verdict_ == base::verdict::not_run;
-    if (!allowed || !spend_repeat(owner_, service_.name)) {
+    if (!allowed || !spend_repeat(context_, service_.name)) {
         give_up(reason);
         return;
     }
-    owner_.metrics.count_repeat(reason);
+    context_.metrics.count_repeat(reason);
     send();
 }
 
--- a/libs/mintknotd-platform/relay/src/plain_exchange.hpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.hpp
@@ -12,7 +12,7 @@
 class plain_exchange final : public exchange {
 public:
     plain_exchange(
-        router& owner, answer_sink& sink, caller_request request,
+        router_context& context, answer_sink& sink, caller_request request,
         std::shared_ptr<const traffic::configuration> config,
         const traffic::route& route, const traffic::service& service);
     ~plain_exchange() override;
--- a/libs/mintknotd-platform/relay/src/router_state.cpp
+++ b/libs/mintknotd-platform/relay/src/router_state.cpp
@@ -18,44 +18,44 @@
 /// Callers name deadlines of some seconds: later than this, none would come.
 constexpr base::milliseconds max_outage{30000};
 
-void tell_load_change(router& owner) {
-    if (owner.state.on_load_change)
-        owner.state.on_load_change();
+void tell_load_change(router_context& context) {
+    if (context.state.on_load_change)
+        context.state.on_load_change();
 }
 
 } // namespace
 
 void add_load(
-    router& owner, const std::string& server_id,
+    router_context& context, const std::string& server_id,
     const traffic::server_load& load) {
-    traffic::add(owner.state.loads, server_id, load);
-    tell_load_change(owner);
+    traffic::add(context.state.loads, server_id, load);
+    tell_load_change(context);
 }
 
 void remove_load(
-    router& owner, const std::string& server_id,
+    router_context& context, const std::string& server_id,
     const traffic::server_load& load) {
-    traffic::remove(owner.state.loads, server_id, load);
-    tell_load_change(owner);
-    owner.queue.room_freed();
+    traffic::remove(context.state.loads, server_id, load);
+    tell_load_change(context);
+    context.queue.room_freed();
 }
 
 void note_result(
-    router& owner, const std::string& server_id, policy::call_result result,
-    const std::string& request_id) {
-    owner.metrics.count_call(result);
-    const base::steady_time now = owner.loop.now();
-    if (!policy::note(owner.state.health, server_id, result, now))
+    router_context& context, const std::string& server_id,
+    policy::call_result result, const std::string& request_id) {
+    context.metrics.count_call(result);
+    const base::steady_time now = context.loop.now();
+    if (!policy::note(context.state.health, server_id, result, now))
         return;
     const auto left = base::time_left(
-        policy::avoided_until(owner.state.health, server_id), now);
-    owner.log.write(
+        policy::avoided_until(context.state.health, server_id), now);
+    context.log.write(
         "server_avoided", {{"request", request_id},
                            {"server", server_id},
                            {"because", policy::to_string(result)},
                            {"for_ms", left.count()}});
-    tell_load_change(owner);
-    owner.prober.watch(server_id);
+    tell_load_change(context);
+    context.prober.watch(server_id);
 }
 
 void note_retries(
@@ -111,45 +111,46 @@
 }
 
 base::milliseconds
-return_after_outage(const router& owner, const std::string& service) {
+return_after_outage(const router_context& context, const std::string& service) {
     const base::milliseconds age = policy::outage_age(
-        owner.state.health, traffic::open_servers(owner.state.servers, service),
-        owner.loop.now());
+        context.state.health,
+        traffic::open_servers(context.state.servers, service),
+        context.loop.now());
     return std::clamp(age, min_outage, max_outage);
 }
 
-bool spend_repeat(router& owner, const std::string& service) {
-    const base::steady_time now = owner.loop.now();
+bool spend_repeat(router_context& context, const std::string& service) {
+    const base::steady_time now = context.loop.now();
     return policy::spend(
-        owner.state.allowances[service], owner.state.retry_bounds,
-        {owner.state.instances, fleet_usage_of(owner.state, service, now),
-         owner.state.started},
+        context.state.allowances[service], context.state.retry_bounds,
+        {context.state.instances, fleet_usage_of(context.state, service, now),
+         context.state.started},
         now);
 }
 
 std::unique_ptr<placement_ticket> place_request(
-    router& owner, const traffic::service& target,
+    router_context& context, const traffic::service& target,
     policy::placement_query query, const placement_handler& then) {
-    if (owner.placement != nullptr && owner.placement->active())
-        return owner.placement->ask(std::move(query), then);
-    then(policy::choose(selection_for(owner, target), query));
+    if (context.placement != nullptr && context.placement->active())
+        return context.placement->ask(std::move(query), then);
+    then(policy::choose(selection_for(context, target), query));
     return nullptr;
 }
 
 policy::selection_inputs
-selection_for(router& owner, const traffic::service& target) {
-    traffic::expire(owner.state.loads, owner.loop.now());
+selection_for(router_context& context, const traffic::service& target) {
+    traffic::expire(context.state.loads, context.loop.now());
     policy::selection_inputs inputs{
-        owner.state.servers,
-        owner.state.loads,
-        owner.state.health,
-        owner.state.rates,
+        context.state.servers,
+        context.state.loads,
+        context.state.health,
+        context.state.rates,
         target,
-        owner.options.data_centre,
-        owner.state.instances,
-        owner.loop.now(),
-        [&owner] { return owner.draw(); }};
-    inputs.mean_hold = policy::mean_hold(owner.state.demands[target.name]);
+        context.options.data_centre,
+        context.state.instances,
+        context.loop.now(),
+        [&context] { return context.draw(); }};
+    inputs.mean_hold = policy::mean_hold(context.state.demands[target.name]);
     return inputs;
 }
 
--- a/libs/mintknotd-platform/relay/tests/relay_fixture.cpp
+++ b/libs/mintknotd-platform/relay/tests/relay_fixture.cpp
@@ -153,7 +153,7 @@
           owner, pool, protocol, log,
           [](const std::string&) { return std::nullopt; },
           [](const std::string&, bool) {})
-    , shared{owner, pool, protocol, log, metrics, releases, prober, {}} {
+    , context{owner, pool, protocol, log, metrics, releases, prober, {}} {
     config.version = 1;
     config.routes = {
         route_of("safe", traffic::route_kind::safe, 2),
@@ -165,8 +165,8 @@
         "llm", "/health", 1000,
         traffic::engine_spec{10000, base::milliseconds(2000)}};
     configure();
-    shared.state.retry_bounds.extra = 1000.0;
-    entry = std::make_unique<entry_server>(shared);
+    context.state.retry_bounds.extra = 1000.0;
+    entry = std::make_unique<entry_server>(context);
     cr_assert(entry->open({"127.0.0.1", 0}).ok());
 }
 
@@ -174,7 +174,7 @@
 
 void relay_fixture::configure() {
     traffic::index(config);
-    shared.state.config = std::make_shared<traffic::configuration>(config);
+    context.state.config = std::make_shared<traffic::configuration>(config);
 }
 
 scripted_server& relay_fixture::add_server(
@@ -205,7 +205,7 @@
     row.where = {"127.0.0.1", port};
     row.phase = phase;
     row.slots = 64;
-    traffic::apply(shared.state.servers, id, ++version_, row);
+    traffic::apply(context.state.servers, id, ++version_, row);
 }
 
 void relay_fixture::run_until(const std::function<bool()>& condition) {
--- a/libs/mintknotd-platform/relay/tests/relay_fixture.hpp
+++ b/libs/mintknotd-platform/relay/tests/relay_fixture.hpp
@@ -82,7 +82,7 @@
     upstream::connection_pool pool;
     release_queue releases;
     health_prober prober;
-    router shared;
+    router_context context;
     std::unique_ptr<entry_server> entry;
     traffic::configuration config;
     /// Takes over changes of `config`.
--- a/libs/mintknotd-platform/relay/tests/test_entry_server.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_entry_server.cpp
@@ -102,7 +102,7 @@
 Test(entry_server, unknown_routes_and_missing_configuration) {
     relay_fixture f;
     cr_assert(f.ask(request("/other/x")).status == 404);
-    f.shared.state.config = nullptr;
+    f.context.state.config = nullptr;
     const caller_view seen = f.ask(request("/unsafe/x"));
     cr_assert(seen.status == 503);
     cr_assert(!seen.field("Retry-After").empty());
@@ -132,7 +132,7 @@
     relay_fixture f;
     f.add_server("d", "llm", traffic::engine_phase::decode, good_decode());
     f.entry->begin_drain(seconds(8));
-    f.shared.state.stop_began -= seconds(5);
+    f.context.state.stop_began -= seconds(5);
     const caller_view seen = f.ask(request("/stream/x"));
     cr_assert(seen.status == 503);
     cr_assert(!seen.field("Retry-After").empty());
@@ -141,16 +141,16 @@
 Test(entry_server, too_many_bodies_are_refused_unrun) {
     relay_fixture f;
     scripted_server& server = f.add_server("i", "app", plain, echoing());
-    f.shared.options.max_body_bytes = 1;
+    f.context.options.max_body_bytes = 1;
     cr_assert(f.ask(request("/unsafe/x")).status == 503);
     cr_assert(server.requests.empty());
-    cr_assert(f.shared.state.open_body_bytes == 0);
+    cr_assert(f.context.state.open_body_bytes == 0);
 }
 
 Test(entry_server, idle_callers_give_way_to_new_ones) {
     relay_fixture f;
     f.add_server("i", "app", plain, echoing());
-    f.shared.options.max_callers = 2;
+    f.context.options.max_callers = 2;
     const event::connection_ptr first = f.connect_idle();
     bool first_ended = false;
     first->set_handlers(
@@ -166,7 +166,7 @@
     scripted_server& server = f.add_server(
         "i", "app", plain,
         [](const received&, const event::connection_ptr&) {});
-    f.shared.options.max_callers = 1;
+    f.context.options.max_callers = 1;
     const event::connection_ptr busy = f.connect_idle();
     busy->write(request("/unsafe/x"));
     f.run_until([&] { return server.requests.size() == 1; });
--- a/libs/mintknotd-platform/relay/tests/test_generation_exchange.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_generation_exchange.cpp
@@ -51,8 +51,8 @@
     cr_assert(p.requests[0].field("Stage") == "prefill");
     cr_assert(d.requests.size() == 1);
     cr_assert(d.requests[0].field("From") == "k1");
-    f.run_until([&] { return f.shared.state.open_requests == 0; });
-    cr_assert(f.shared.state.loads.own.empty());
+    f.run_until([&] { return f.context.state.open_requests == 0; });
+    cr_assert(f.context.state.loads.own.empty());
 }
 
 Test(generation_exchange, reading_may_be_repeated_for_every_kind) {
@@ -153,7 +153,7 @@
     relay_fixture f;
     scripted_server& p = f.add_server("p", "llm", prefill, good_prefill("k1"));
     f.add_server("d", "llm", decode, good_decode());
-    traffic::add(f.shared.state.loads, "d", {1, 0.0, 9000.0});
+    traffic::add(f.context.state.loads, "d", {1, 0.0, 9000.0});
     const caller_view seen = f.ask(prompt("/stream/x", 5000));
     cr_assert(seen.status == 503);
     cr_assert(!seen.field("Retry-After").empty());
@@ -165,13 +165,13 @@
     // Requests end soon, so that room is expected in time.
     for (int i = 0; i < 100; ++i)
         policy::note_decode(
-            f.shared.state.demands["llm"], 0.5, base::milliseconds(100));
+            f.context.state.demands["llm"], 0.5, base::milliseconds(100));
     f.add_server("p", "llm", prefill, good_prefill("k1"));
     f.add_server("d", "llm", decode, good_decode());
-    traffic::add(f.shared.state.loads, "d", {1, 0.0, 9000.0});
+    traffic::add(f.context.state.loads, "d", {1, 0.0, 9000.0});
     event::timer soon(f.owner);
     soon.start(base::milliseconds(60), [&] {
-        traffic::remove(f.shared.state.loads, "d", {1, 0.0, 9000.0});
+        traffic::remove(f.context.state.loads, "d", {1, 0.0, 9000.0});
     });
     cr_assert(f.ask(prompt("/stream/x", 5000)).body == all_events);
 }
@@ -184,8 +184,8 @@
     // free after 4.8 s, where the target is a second.
     for (int i = 0; i < 300; ++i)
         policy::note_decode(
-            f.shared.state.demands["llm"], 0.5, base::milliseconds(10000));
-    traffic::add(f.shared.state.loads, "d", {1, 0.0, 9000.0});
+            f.context.state.demands["llm"], 0.5, base::milliseconds(10000));
+    traffic::add(f.context.state.loads, "d", {1, 0.0, 9000.0});
     const caller_view seen = f.ask(prompt("/stream/x", 5000));
     cr_assert(seen.status == 503);
     cr_assert(std::stoi(seen.field("Retry-After")) > 4000);
@@ -210,7 +210,7 @@
     relay_fixture f;
     f.add_server("d", "llm", decode, good_decode());
     late_scheduler scheduler;
-    f.shared.placement = &scheduler;
+    f.context.placement = &scheduler;
     cr_assert(f.ask(prompt("/stream/x")).body == all_events);
 }
 
@@ -219,9 +219,9 @@
     f.add_server("d", "llm", decode, good_decode());
     for (int i = 0; i < 300; ++i)
         policy::note_decode(
-            f.shared.state.demands["llm"], 0.5, base::milliseconds(500));
-    traffic::add(f.shared.state.loads, "d", {1, 0.0, 9000.0});
-    f.shared.state.waiting_of_peers["peer"] = {
+            f.context.state.demands["llm"], 0.5, base::milliseconds(500));
+    traffic::add(f.context.state.loads, "d", {1, 0.0, 9000.0});
+    f.context.state.waiting_of_peers["peer"] = {
         {{"llm", 100000.0}}, f.owner.now()};
     cr_assert(f.ask(prompt("/stream/x", 5000)).status == 503);
 }
@@ -246,7 +246,7 @@
         });
     f.ask(prompt("/stream/x"), [&] { return d.requests.size() == 1; });
     f.run_until([&] { return d.ended == 1; });
-    cr_assert(f.shared.state.loads.own.empty());
+    cr_assert(f.context.state.loads.own.empty());
 }
 
 Test(generation_exchange, dead_engines_do_not_make_a_busy_loop) {
@@ -283,7 +283,7 @@
     relay_fixture f;
     scripted_server& p = f.add_server("p", "llm", prefill, good_prefill("k1"));
     scripted_server& d = f.add_server("d", "llm", decode, good_decode());
-    traffic::add(f.shared.state.loads, "p", {1, 50000.0, 0.0});
+    traffic::add(f.context.state.loads, "p", {1, 50000.0, 0.0});
     cr_assert(f.ask(prompt("/stream/x")).body == all_events);
     cr_assert(p.requests.empty());
     cr_assert(d.requests.size() == 1);
@@ -294,7 +294,7 @@
     scripted_server& p = f.add_server("p", "llm", prefill, good_prefill("k1"));
     f.add_server("d", "llm", decode, good_decode());
     // 14,000 tokens at 20 a millisecond: 700 of the target of 1,000 ms.
-    traffic::add(f.shared.state.loads, "p", {1, 14000.0, 0.0});
+    traffic::add(f.context.state.loads, "p", {1, 14000.0, 0.0});
     cr_assert(f.ask(prompt("/stream/x")).body == all_events);
     cr_assert(p.requests.size() == 1);
 }
@@ -305,14 +305,14 @@
     relay_fixture f;
     for (int i = 0; i < 100; ++i)
         policy::note_decode(
-            f.shared.state.demands["llm"], 0.5, base::milliseconds(100));
+            f.context.state.demands["llm"], 0.5, base::milliseconds(100));
     const script silent = [](const received&, const event::connection_ptr&) {};
     f.add_server("d1", "llm", decode, silent);
     f.add_server("d2", "llm", decode, good_decode());
-    traffic::add(f.shared.state.loads, "d2", {1, 0.0, 9000.0});
+    traffic::add(f.context.state.loads, "d2", {1, 0.0, 9000.0});
     event::timer later(f.owner);
     later.start(base::milliseconds(1300), [&] {
-        traffic::remove(f.shared.state.loads, "d2", {1, 0.0, 9000.0});
+        traffic::remove(f.context.state.loads, "d2", {1, 0.0, 9000.0});
     });
     cr_assert(f.ask(prompt("/resume/x", 5000)).body == all_events);
 }
@@ -321,7 +321,7 @@
     // Found by a score of fvmcw-proto: a decode after a rejected prefill was
     // not charged, and the bound of all instances was broken.
     relay_fixture f;
-    f.shared.state.retry_bounds = {0.0, 0.0, base::milliseconds(10000)};
+    f.context.state.retry_bounds = {0.0, 0.0, base::milliseconds(10000)};
     scripted_server& p = f.add_server("p", "llm", prefill, rejecting());
     scripted_server& d = f.add_server("d", "llm", decode, good_decode());
     cr_assert(f.ask(prompt("/stream/x")).status == 503);
@@ -331,7 +331,7 @@
 
 Test(generation_exchange, the_prefill_that_is_taken_up_is_free) {
     relay_fixture f;
-    f.shared.state.retry_bounds = {0.0, 0.0, base::milliseconds(10000)};
+    f.context.state.retry_bounds = {0.0, 0.0, base::milliseconds(10000)};
     f.add_server("p", "llm", prefill, good_prefill("k1"));
     f.add_server("d", "llm", decode, good_decode());
     cr_assert(f.ask(prompt("/stream/x")).body == all_events);
@@ -341,7 +341,7 @@
     // Found on fvmcw-proto trouble-2: after a lost prefill another engine read
     // the prompt, and then there was no allowance left for the decode.
     relay_fixture f;
-    f.shared.state.retry_bounds = {0.0, 0.0, base::milliseconds(10000)};
+    f.context.state.retry_bounds = {0.0, 0.0, base::milliseconds(10000)};
     const script broken = [](const received&,
                              const event::connection_ptr& link) {
         link->close();
@@ -356,8 +356,8 @@
 
 Test(generation_exchange, silence_without_allowance_does_not_end_an_answer) {
     relay_fixture f;
-    f.shared.state.retry_bounds.extra = 0.0;
-    f.shared.state.retry_bounds.ratio = 0.0;
+    f.context.state.retry_bounds.extra = 0.0;
+    f.context.state.retry_bounds.ratio = 0.0;
     event::timer later(f.owner);
     const script pausing =
         [&later](const received& to, const event::connection_ptr& link) {
--- a/libs/mintknotd-platform/relay/tests/test_plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_plain_exchange.cpp
@@ -109,7 +109,7 @@
     relay_fixture f;
     f.add_dead_server("i1", "app");
     policy::note(
-        f.shared.state.health, "i1", policy::call_result::good,
+        f.context.state.health, "i1", policy::call_result::good,
         f.owner.now() - std::chrono::seconds(3));
     const caller_view seen = f.ask(request("/unsafe/x"));
     cr_assert(seen.status == 503);
@@ -212,8 +212,8 @@
     scripted_server& server = f.add_server("i1", "app", plain, silent());
     f.ask(request("/safe/x"), [&] { return server.requests.size() == 1; });
     f.run_until([&] { return server.ended == 1; });
-    cr_assert(f.shared.state.open_requests == 0);
-    cr_assert(f.shared.state.loads.own.empty());
+    cr_assert(f.context.state.open_requests == 0);
+    cr_assert(f.context.state.loads.own.empty());
 }
 
 Test(plain_exchange, without_servers_nothing_has_run) {
@@ -225,7 +225,7 @@
 
 Test(plain_exchange, an_empty_retry_allowance_ends_the_retries) {
     relay_fixture f;
-    f.shared.state.retry_bounds = {0.0, 0.0, base::milliseconds(10000)};
+    f.context.state.retry_bounds = {0.0, 0.0, base::milliseconds(10000)};
     scripted_server& one = f.add_server("i1", "app", plain, breaking());
     scripted_server& two = f.add_server("i2", "app", plain, breaking());
     cr_assert(f.ask(request("/safe/x")).status == 502);
--- a/libs/mintknotd-platform/runtime/src/document_sync.cpp
+++ b/libs/mintknotd-platform/runtime/src/document_sync.cpp
@@ -10,10 +10,9 @@
 
 /// How long readers of a large group hold their watches: each call to the
 /// store has a price.
-constexpr base::milliseconds calm_wait{10000};
-constexpr base::milliseconds calm_gather{300};
+constexpr base::milliseconds large_group_wait{10000};
 /// How long a large group waits for its readers' news of servers.
-constexpr base::milliseconds calm_patience{1200};
+constexpr base::milliseconds large_group_patience{1200};
 /// Snapshots of thousands of servers are large: a hundred instances that start
 /// at once are not to fill the memory of one that is asked by all.
 constexpr std::size_t snapshot_bytes_per_ms = 1000;
@@ -86,10 +85,10 @@
     server_reader_.stop();
 }
 
-void document_sync::read_calmly() {
-    configuration_reader_.set_pace(calm_wait, calm_gather);
-    server_reader_.set_pace(calm_wait, calm_gather);
-    fetcher_.set_server_patience(calm_patience);
+void document_sync::use_large_group_pace() {
+    configuration_reader_.set_wait(large_group_wait);
+    server_reader_.set_wait(large_group_wait);
+    fetcher_.set_server_patience(large_group_patience);
 }
 
 void document_sync::on_heartbeat(
--- a/libs/mintknotd-platform/runtime/src/document_sync.hpp
+++ b/libs/mintknotd-platform/runtime/src/document_sync.hpp
@@ -60,8 +60,9 @@
 
     void start();
     void stop();
-    /// From now on the group is large: the store is read calmly.
-    void read_calmly();
+    /// From now on the group is large: watches at the store are held longer,
+    /// and readers are waited for.
+    void use_large_group_pace();
     void
     on_heartbeat(const std::string& host, const peers::heartbeat& heartbeat);
     /// Answers another instance.
--- a/libs/mintknotd-platform/runtime/src/heartbeat_content.cpp
+++ b/libs/mintknotd-platform/runtime/src/heartbeat_content.cpp
@@ -7,7 +7,7 @@
 /// A sender far from both this instance and the server may be cut off from
 /// the server without it being so here.
 bool concerns_here(
-    const relay::router& router, const peers::heartbeat& heartbeat,
+    const relay::router_context& router, const peers::heartbeat& heartbeat,
     const std::string& server_id) {
     if (heartbeat.data_centre == router.options.data_centre)
         return true;
@@ -18,7 +18,8 @@
 
 } // namespace
 
-peers::heartbeat describe(const relay::router& router, bool with_loads) {
+peers::heartbeat
+describe(const relay::router_context& router, bool with_loads) {
     const relay::router_state& state = router.state;
     const base::steady_time now = router.loop.now();
     peers::heartbeat own;
@@ -37,7 +38,7 @@
 }
 
 void take_heartbeat(
-    relay::router& router, const std::string& host,
+    relay::router_context& router, const std::string& host,
     const peers::heartbeat& heartbeat) {
     relay::router_state& state = router.state;
     const base::steady_time now = router.loop.now();
--- a/libs/mintknotd-platform/runtime/src/heartbeat_content.hpp
+++ b/libs/mintknotd-platform/runtime/src/heartbeat_content.hpp
@@ -12,11 +12,11 @@
 
 /// @param with_loads false: loads are told to schedulers instead.
 /// @return the heartbeat without versions of documents.
-peers::heartbeat describe(const relay::router& router, bool with_loads);
+peers::heartbeat describe(const relay::router_context& router, bool with_loads);
 
 /// Takes loads, retries, and what the sender knows of servers.
 void take_heartbeat(
-    relay::router& router, const std::string& host,
+    relay::router_context& router, const std::string& host,
     const peers::heartbeat& heartbeat);
 
 } // namespace mintknot::runtime
--- a/libs/mintknotd-platform/runtime/src/instance.cpp
+++ b/libs/mintknotd-platform/runtime/src/instance.cpp
@@ -54,11 +54,11 @@
               [this](const std::string& id) { return check_of(id); },
               [this](const std::string& id, bool passed) {
                   policy::note_check(
-                      shared.state.health, id, passed, ports.loop.now());
+                      context.state.health, id, passed, ports.loop.now());
               })
-        , shared{ports.loop, pool,     ports.protocol, log,
-                 metrics,    releases, prober,         settings.relay}
-        , entry(shared)
+        , context{ports.loop, pool,     ports.protocol, log,
+                  metrics,    releases, prober,         settings.relay}
+        , entry(context)
         , readiness(
               ports.loop, relay::at_once([this](const http1::request_head&) {
                   return readiness_answer();
@@ -75,7 +75,7 @@
               })
         , documents(
               {ports.loop, ports.store, ports.codec, pool, log,
-               [this] { return shared.draw(); }},
+               [this] { return context.draw(); }},
               {settings.peer, settings.data_centre, settings.drain_bound,
                [this] { return readers_here(); }},
               document_functions())
@@ -83,26 +83,26 @@
               ports.loop, log,
               {settings.peer, settings.data_centre, settings.seed_hosts},
               group_functions())
-        , placer(shared, placer_functions())
+        , placer(context, placer_functions())
         , balancer(
-              shared, ports.store, balancer_options(),
+              context, ports.store, balancer_options(),
               [this] { return looks_after_orders(); })
         , drain_timer(ports.loop)
         , reloads(
               ports.loop, log, ports.reload,
               [this](const instance_settings& fresh) {
-                  return fresh.retry_bounds != shared.state.retry_bounds ||
+                  return fresh.retry_bounds != context.state.retry_bounds ||
                          fresh.grace != settings.grace;
               },
               [this](const instance_settings& fresh, std::string_view cause) {
                   take(fresh, cause);
               }) {
-        shared.state.retry_bounds = settings.retry_bounds;
-        shared.state.instances = min_instances;
-        shared.state.started = ports.loop.now();
-        shared.placement = &placer;
-        shared.state.on_order = [this] { group.changed(); };
-        shared.state.on_load_change = [this] {
+        context.state.retry_bounds = settings.retry_bounds;
+        context.state.instances = min_instances;
+        context.state.started = ports.loop.now();
+        context.placement = &placer;
+        context.state.on_order = [this] { group.changed(); };
+        context.state.on_load_change = [this] {
             if (placer.active())
                 placer.loads_changed();
             else
@@ -113,7 +113,7 @@
     document_handlers document_functions() {
         return {
             [this](std::shared_ptr<const traffic::configuration> config) {
-                shared.state.config = std::move(config);
+                context.state.config = std::move(config);
                 group.changed();
             },
             [this](
@@ -121,26 +121,26 @@
                 std::optional<traffic::server> server) {
                 on_server(id, version, std::move(server));
             },
-            [this] { return traffic::count(shared.state.servers); }};
+            [this] { return traffic::count(context.state.servers); }};
     }
 
     void on_server(
         const std::string& id, std::uint64_t version,
         std::optional<traffic::server> server) {
         const bool gone = !server;
-        const traffic::server* known = traffic::find(shared.state.servers, id);
+        const traffic::server* known = traffic::find(context.state.servers, id);
         const bool changed = known != nullptr && server.has_value() &&
                              known->phase != server->phase;
         if (!traffic::apply(
-                shared.state.servers, id, version, std::move(server)))
+                context.state.servers, id, version, std::move(server)))
             return;
         if (changed)
-            policy::end_change(shared.state.health, id);
-        shared.queue.room_freed();
+            policy::end_change(context.state.health, id);
+        context.queue.room_freed();
         if (gone) {
             pool.drop(id);
-            policy::forget(shared.state.health, id);
-            policy::forget(shared.state.rates, id);
+            policy::forget(context.state.health, id);
+            policy::forget(context.state.rates, id);
         }
         if (!placer.active())
             group.changed();
@@ -162,7 +162,7 @@
     scheduler_hosts(const std::string& data_centre) const {
         std::vector<std::string> hosts =
             peers::staying(group.table(), data_centre);
-        if (!shared.state.stopping &&
+        if (!context.state.stopping &&
             (data_centre.empty() || data_centre == settings.data_centre))
             hosts.push_back(settings.peer.host);
         return hosts;
@@ -192,7 +192,7 @@
     }
 
     peers::heartbeat describe_here() {
-        peers::heartbeat own = describe(shared, !placer.active());
+        peers::heartbeat own = describe(context, !placer.active());
         own.configuration = documents.version(state::collection::configuration);
         own.servers = documents.version(state::collection::servers);
         return own;
@@ -209,13 +209,13 @@
 
     void
     on_heartbeat(const std::string& host, const peers::heartbeat& heartbeat) {
-        take_heartbeat(shared, host, heartbeat);
-        shared.state.instances =
+        take_heartbeat(context, host, heartbeat);
+        context.state.instances =
             std::max(min_instances, peers::instances(group.table()));
-        if (!calm && placer.active()) {
-            calm = true;
-            documents.read_calmly();
-            shared.queue.slow_down(min_question_gap);
+        if (!has_been_large && placer.active()) {
+            has_been_large = true;
+            documents.use_large_group_pace();
+            context.queue.slow_down(min_question_gap);
         }
         documents.on_heartbeat(host, heartbeat);
     }
@@ -231,21 +231,22 @@
     }
 
     std::optional<relay::health_check> check_of(const std::string& id) const {
-        const traffic::server* server = traffic::find(shared.state.servers, id);
-        if (server == nullptr || shared.state.config == nullptr)
+        const traffic::server* server =
+            traffic::find(context.state.servers, id);
+        if (server == nullptr || context.state.config == nullptr)
             return std::nullopt;
         const auto service =
-            shared.state.config->services.find(server->service);
-        if (service == shared.state.config->services.end())
+            context.state.config->services.find(server->service);
+        if (service == context.state.config->services.end())
             return std::nullopt;
         return relay::health_check{
             {server->id, server->where},
             service->second.health_path,
-            policy::avoided_until(shared.state.health, id)};
+            policy::avoided_until(context.state.health, id)};
     }
 
     bool ready() const {
-        return !shared.state.stopping && shared.state.config != nullptr &&
+        return !context.state.stopping && context.state.config != nullptr &&
                documents.known();
     }
 
@@ -257,11 +258,11 @@
 
     relay::local_answer metrics_answer() {
         const std::uint64_t version =
-            shared.state.config == nullptr ? 0 : shared.state.config->version;
+            context.state.config == nullptr ? 0 : context.state.config->version;
         const std::chrono::duration<double> silence = documents.silence();
         const std::pair<const char*, double> gauges[] = {
             {"ready", ready() ? 1.0 : 0.0},
-            {"open_requests", gauge(shared.state.open_requests)},
+            {"open_requests", gauge(context.state.open_requests)},
             {"caller_connections", gauge(entry.connections())},
             {"idle_upstream_connections", gauge(pool.idle_total())},
             {"upstream_connections_opened", gauge(pool.counters().opened)},
@@ -296,13 +297,13 @@
     }
 
     void take(const instance_settings& fresh, std::string_view cause) {
-        shared.state.retry_bounds = fresh.retry_bounds;
+        context.state.retry_bounds = fresh.retry_bounds;
         settings.grace = fresh.grace;
         log.write("reloaded", {{"cause", cause}});
     }
 
     void begin_drain() {
-        if (shared.state.stopping)
+        if (context.state.stopping)
             return;
         entry.begin_drain(settings.grace);
         log.write(
@@ -314,7 +315,7 @@
 
     void drain() {
         const auto since = std::chrono::duration_cast<base::milliseconds>(
-            ports.loop.now() - shared.state.stop_began);
+            ports.loop.now() - context.state.stop_began);
         switch (policy::next_step(since, settings.grace, entry.busy())) {
         case policy::drain_step::serve:
             break;
@@ -347,7 +348,7 @@
     upstream::connection_pool pool;
     relay::release_queue releases;
     relay::health_prober prober;
-    relay::router shared;
+    relay::router_context context;
     relay::entry_server entry;
     relay::local_server readiness;
     relay::local_server metrics_server;
@@ -358,7 +359,7 @@
     orders::phase_balancer balancer;
     event::timer drain_timer;
     settings_watch reloads;
-    bool calm = false; ///< The group has been large.
+    bool has_been_large = false; ///< The group, at some time.
 };
 
 instance::instance(instance_settings settings, instance_ports ports)
--- a/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/remote_placer.hpp
+++ b/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/remote_placer.hpp
@@ -48,7 +48,8 @@
 public:
     /// The router must outlive the placer.
     remote_placer(
-        relay::router& router, placer_ports ports, placer_options options = {});
+        relay::router_context& context, placer_ports ports,
+        placer_options options = {});
     ~remote_placer() override;
     remote_placer(const remote_placer&) = delete;
     remote_placer& operator=(const remote_placer&) = delete;
--- a/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
@@ -33,13 +33,15 @@
 } // namespace
 
 struct remote_placer::impl {
-    impl(relay::router& shared, placer_ports outside, placer_options settings)
-        : router(shared)
+    impl(
+        relay::router_context& shared, placer_ports outside,
+        placer_options settings)
+        : context(shared)
         , ports(std::move(outside))
         , options(settings)
         , report_timer(shared.loop) {}
 
-    base::steady_time now() const { return router.loop.now(); }
+    base::steady_time now() const { return context.loop.now(); }
 
     /// @return the scheduler of a domain, passing over those that have not
     /// answered lately; empty if there is none.
@@ -56,10 +58,10 @@
     /// where the scheduler's is not. If it is most of them, the fault is here.
     void exclude_avoided(policy::placement_query& query) const {
         const auto& open =
-            traffic::open_servers(router.state.servers, query.service);
+            traffic::open_servers(context.state.servers, query.service);
         policy::excluded_servers avoided;
         for (const traffic::server* server : open)
-            if (policy::avoided(router.state.health, server->id, now()))
+            if (policy::avoided(context.state.health, server->id, now()))
                 avoided.insert(server->id);
         if (avoided.size() > max_avoided || avoided.size() * 2 > open.size())
             return;
@@ -70,19 +72,19 @@
     std::uint64_t
     begin(policy::placement_query query, relay::placement_handler then) {
         const std::uint64_t number = ++last_number;
-        auto entry = std::make_unique<question>(router.loop);
+        auto entry = std::make_unique<question>(context.loop);
         entry->left = policy::domains_of(
-            router.state.servers, query.service, router.options.data_centre);
+            context.state.servers, query.service, context.options.data_centre);
         if (query.kind == policy::placement_kind::plain &&
             entry->left.size() > 1)
             query.kind = policy::placement_kind::plain_with_room;
         exclude_avoided(query);
-        query.data_centre = router.options.data_centre;
+        query.data_centre = context.options.data_centre;
         entry->query = std::move(query);
         entry->then = std::move(then);
         questions.emplace(number, std::move(entry));
         // The contract: the answer never comes from within ask().
-        router.loop.post([this, number, alive = std::weak_ptr<bool>(life)] {
+        context.loop.post([this, number, alive = std::weak_ptr<bool>(life)] {
             if (!alive.expired())
                 ask_next(number);
         });
@@ -148,7 +150,7 @@
             return item.second <= now();
         });
         suspected[host] = now() + options.suspicion;
-        router.log.write(
+        context.log.write(
             "scheduler_silent",
             {{"host", host}, {"for_ms", options.suspicion.count()}});
         // What it had been told must be told to the next one.
@@ -173,7 +175,7 @@
         if (service == nullptr)
             return {};
         policy::selection_inputs inputs =
-            relay::selection_for(router, *service);
+            relay::selection_for(context, *service);
         inputs.only_data_centre = which.data_centre;
         inputs.own_data_centre = query.data_centre;
         inputs.all_loads_known = exact;
@@ -181,11 +183,11 @@
     }
 
     const traffic::service* service_of(const std::string& name) const {
-        if (router.state.config == nullptr)
+        if (context.state.config == nullptr)
             return nullptr;
-        const auto found = router.state.config->services.find(name);
-        return found == router.state.config->services.end() ? nullptr
-                                                            : &found->second;
+        const auto found = context.state.config->services.find(name);
+        return found == context.state.config->services.end() ? nullptr
+                                                             : &found->second;
     }
 
     void on_message(const std::string& host, const placement_request& request) {
@@ -195,7 +197,7 @@
         answer.placed = decide(
             request.query, {request.query.service, request.data_centre}, true);
         traffic::add_to_peer(
-            router.state.loads, host,
+            context.state.loads, host,
             policy::placed_loads(answer.placed, request.query), now());
         ports.send(host, encode(answer));
     }
@@ -220,13 +222,13 @@
     }
 
     void on_message(const std::string& host, const load_report& report) {
-        traffic::set_peer(router.state.loads, host, report.loads, now());
+        traffic::set_peer(context.state.loads, host, report.loads, now());
         for (const policy::server_warning& server : report.avoided)
             policy::warn(
-                router.state.health, server.server_id, now() + server.left,
+                context.state.health, server.server_id, now() + server.left,
                 now());
         for (const observed_rate& observed : report.rates)
-            policy::note_rate(router.state.rates, observed.id, observed.rate);
+            policy::note_rate(context.state.rates, observed.id, observed.rate);
     }
 
     void loads_changed() {
@@ -247,8 +249,8 @@
             reports[host];
         reported.clear();
         const std::vector<policy::server_warning> avoided =
-            policy::own_warnings(router.state.health, now());
-        for (const auto& [id, load] : router.state.loads.own) {
+            policy::own_warnings(context.state.health, now());
+        for (const auto& [id, load] : context.state.loads.own) {
             const std::string host = scheduler_elsewhere(id);
             if (host.empty())
                 continue;
@@ -272,11 +274,11 @@
     /// this one or there is none.
     std::string scheduler_elsewhere(const std::string& server_id) const {
         const traffic::server* server =
-            traffic::find(router.state.servers, server_id);
+            traffic::find(context.state.servers, server_id);
         if (server == nullptr)
             return {};
         std::string host =
-            scheduler(policy::domain_of(router.state.servers, *server));
+            scheduler(policy::domain_of(context.state.servers, *server));
         return host == ports.own_host ? std::string{} : host;
     }
 
@@ -287,16 +289,16 @@
         if (reports.empty())
             return;
         std::vector<observed_rate> rates;
-        for (const std::string& id : router.state.rates.fresh)
-            rates.push_back({id, policy::rate_of(router.state.rates, id)});
-        router.state.rates.fresh.clear();
+        for (const std::string& id : context.state.rates.fresh)
+            rates.push_back({id, policy::rate_of(context.state.rates, id)});
+        context.state.rates.fresh.clear();
         for (auto& [host, report] : reports) {
             report.avoided = avoided;
             report.rates = rates;
         }
     }
 
-    relay::router& router;
+    relay::router_context& context;
     placer_ports ports;
     placer_options options;
     std::uint64_t last_number = 0;
@@ -325,8 +327,8 @@
 } // namespace
 
 remote_placer::remote_placer(
-    relay::router& router, placer_ports ports, placer_options options)
-    : impl_(std::make_unique<impl>(router, std::move(ports), options)) {}
+    relay::router_context& context, placer_ports ports, placer_options options)
+    : impl_(std::make_unique<impl>(context, std::move(ports), options)) {}
 
 remote_placer::~remote_placer() = default;
 
--- a/libs/mintknotd-platform/scheduling/tests/test_remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/tests/test_remote_placer.cpp
@@ -25,7 +25,7 @@
     explicit bench(std::vector<std::string> all_hosts)
         : hosts(std::move(all_hosts))
         , placer(
-              f.shared,
+              f.context,
               {"own",
                [this](const std::string& host, const std::string& datagram) {
                    auto value = decode(datagram);
@@ -44,7 +44,7 @@
         row.slots = 64;
         row.phase = phase;
         row.data_centre = data_centre;
-        traffic::apply(f.shared.state.servers, id, ++version, row);
+        traffic::apply(f.context.state.servers, id, ++version, row);
     }
 
     std::unique_ptr<relay::placement_ticket> ask(double memory_tokens = 100.0) {
@@ -159,7 +159,7 @@
 
 Test(remote_placer, a_scheduler_prefers_the_data_centre_of_the_asker) {
     bench b({"own"});
-    b.f.shared.options.data_centre = "a";
+    b.f.context.options.data_centre = "a";
     b.add_engine("near", decode_phase, "a");
     b.add_engine("far", decode_phase, "b");
     cr_assert(b.answer_to(100.0, "b").server == "far");
@@ -168,7 +168,7 @@
 
 Test(remote_placer, a_full_data_centre_leads_to_the_next) {
     bench b({"x"});
-    b.f.shared.options.data_centre = "a";
+    b.f.context.options.data_centre = "a";
     for (int i = 0; i < 13; ++i) {
         b.add_engine(fmt::format("a{}", i), decode_phase, "a");
         b.add_engine(fmt::format("b{}", i), decode_phase, "b");
@@ -190,7 +190,7 @@
     for (const char* id : {"d1", "d2", "d3"})
         b.add_engine(id, decode_phase);
     policy::note(
-        b.f.shared.state.health, "d2", policy::call_result::unreachable,
+        b.f.context.state.health, "d2", policy::call_result::unreachable,
         b.f.owner.now());
     const auto ticket = b.ask();
     b.f.run_until([&] { return !b.sent.empty(); });
--- a/libs/mintknotd-platform/state/include/mintknot/state/store_reader.hpp
+++ b/libs/mintknotd-platform/state/include/mintknot/state/store_reader.hpp
@@ -40,9 +40,8 @@
 
     void start();
     void stop();
-    /// Changes how long a watch is held and how closely changes are fetched,
-    /// from the next call on.
-    void set_pace(base::milliseconds wait, base::milliseconds gather);
+    /// Changes how long a watch is held, from the next call on.
+    void set_wait(base::milliseconds wait);
     /// Calls the handler when the store answers again after it has been out of
     /// reach, before what it answers is taken.
     void on_return(std::function<void()> handler);
--- a/libs/mintknotd-platform/state/src/store_reader.cpp
+++ b/libs/mintknotd-platform/state/src/store_reader.cpp
@@ -28,10 +28,8 @@
     timer_.stop();
 }
 
-void store_reader::set_pace(
-    base::milliseconds wait, base::milliseconds gather) {
+void store_reader::set_wait(base::milliseconds wait) {
     options_.wait = wait;
-    options_.gather = gather;
 }
 
 void store_reader::on_return(std::function<void()> handler) {
