--- a/libs/mintknotd-platform/policy/include/mintknot/policy/admission.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/admission.hpp
@@ -1,10 +1,12 @@
 /// @file
-/// Whether a request waits for room, and when a refused caller may come back.
+/// Whether a request that finds no room waits or is refused at once.
+///
+/// The forecast of room is as old as the loads it is made from: own ones are
+/// exact, those of peers 60 ms old or more (traffic/load_view.hpp).
 #ifndef MINTKNOT_POLICY_ADMISSION_HPP
 #define MINTKNOT_POLICY_ADMISSION_HPP
 
 #include <mintknot/base/time.hpp>
-#include <mintknot/policy/room_forecast.hpp>
 
 #include <optional>
 
@@ -32,7 +34,7 @@
     base::milliseconds waited{0};    ///< Since its arrival.
     base::milliseconds target{0};    ///< Of its first event.
     base::milliseconds time_left{0}; ///< Until its deadline.
-    bool begun = false;              ///< An engine has worked for it.
+    bool begun = false; ///< An engine has worked, or may work, for it.
 };
 
 /// @return true if an answer is still expected in time for the target.
@@ -40,13 +42,13 @@
     const unplaced_request& request,
     std::optional<base::milliseconds> expected_wait, base::milliseconds start);
 
-/// Decides by what callers gain. A request waits where it is expected to meet
-/// its target; else it is refused at once, for the room that it took later
-/// would be missed by one that can. That holds also for a caller that has been
-/// refused before: where such requests waited until their deadline, 1.1 in 100
-/// fewer first tries met their target (thirty plays). Once an engine has read
-/// the prompt, the request waits where an answer is expected before its
-/// deadline.
+/// Decides by what callers gain; log events `no_room` and `given_up`. A request
+/// waits where it is expected to meet its target; else it is refused at once,
+/// for the room that it took later would be missed by one that can. That holds
+/// also for a caller that has been refused before: where such requests waited
+/// until their deadline, 1.1 in 100 fewer first tries met their target (thirty
+/// plays). Once an engine has read the prompt, the request waits where an
+/// answer is expected before its deadline.
 ///
 /// Against a fixed wait of a fifth of the target (three fifths for requests
 /// that came back), of 100 first tries on three deployments 0.5, 1.0 and 0.7
@@ -59,25 +61,10 @@
     const unplaced_request& request,
     std::optional<base::milliseconds> expected_wait, base::milliseconds start);
 
-/// When the callers that one instance has refused come back.
-struct return_schedule {
-    base::steady_time last{}; ///< The latest time that was given out.
-};
-
-/// What a refused caller is told by.
-struct return_terms {
-    policy::room_forecast forecast;
-    std::optional<base::milliseconds> expected_wait;
-    double tokens = 0.0;       ///< Memory that the request needs.
-    std::size_t instances = 1; ///< That give out the same room.
-};
-
-/// Gives out times in the order of refusal and no faster than room is expected
-/// to come, so that those refused first find room first.
-/// @return the time after which the caller may come back.
-base::milliseconds schedule_return(
-    return_schedule& schedule, const return_terms& terms,
-    base::steady_time now);
+/// Pause after some connections in a row have failed, for requests that wait:
+/// short against the time for which a server is avoided that could not be
+/// reached.
+inline constexpr base::milliseconds unreachable_pause{100};
 
 } // namespace mintknot::policy
 
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/exchange.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/exchange.hpp
@@ -5,6 +5,7 @@
 
 #include <mintknot/base/verdict.hpp>
 #include <mintknot/event/loop.hpp>
+#include <mintknot/policy/attempts.hpp>
 #include <mintknot/relay/router_state.hpp>
 #include <mintknot/upstream/call.hpp>
 
@@ -87,6 +88,8 @@
     bool returned() const;
     void end_answer(std::string_view outcome);
     void break_answer(std::string_view reason);
+    /// Ends the exchange as a step says. @param what give_up or break_off.
+    void end_by(policy::action what, std::string_view reason);
 
     /// @return true if an answer is this request's own: a surplus answer to an
     /// earlier one may come first. A rejection may lack the ID.
@@ -102,7 +105,7 @@
     const traffic::route& route_;
     const traffic::service& service_;
     base::verdict verdict_ = base::verdict::not_run;
-    bool head_sent_ = false;
+    policy::attempts attempts_;
     bool finished_ = false;
     int sends_ = 0; ///< Calls that may have reached a server.
 
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
@@ -8,6 +8,7 @@
 #include <mintknot/policy/admission.hpp>
 #include <mintknot/policy/phase_demand.hpp>
 #include <mintknot/policy/retry_allowance.hpp>
+#include <mintknot/policy/return_time.hpp>
 #include <mintknot/policy/selection.hpp>
 #include <mintknot/policy/server_health.hpp>
 #include <mintknot/relay/dialect.hpp>
@@ -140,10 +141,8 @@
     const router_state& state, const std::string& service,
     base::steady_time now);
 
-/// @return when a caller may come back that found no server within reach: an
-/// outage is expected to last as long again as it has lasted. Against a fixed
-/// 250 ms a fifth fewer callers of plain services came back in vain (56 and 59
-/// of 109 before, 46 and 48 after, two days with a data centre cut off).
+/// @return when a caller may come back that found no server within reach
+/// (policy/return_time.hpp).
 base::milliseconds
 return_after_outage(const router_context& context, const std::string& service);
 
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/wait_queue.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/wait_queue.hpp
@@ -4,8 +4,8 @@
 #define MINTKNOT_RELAY_WAIT_QUEUE_HPP
 
 #include <mintknot/event/loop.hpp>
+#include <mintknot/policy/queue_order.hpp>
 
-#include <compare>
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -14,16 +14,6 @@
 
 namespace mintknot::relay {
 
-/// Who goes first: whoever can still meet its target, then the more urgent
-/// route, then the earlier arrival.
-struct queue_rank {
-    bool late = false; ///< An answer in time is no longer expected.
-    int priority = 0;  ///< Of the route, 0 is the highest.
-    base::steady_time arrived{};
-
-    auto operator<=>(const queue_rank&) const = default;
-};
-
 /// Wakes the requests that wait at this instance, best rank first, when room
 /// may have been set free. Used on the loop's thread only.
 class wait_queue {
@@ -43,8 +33,8 @@
     /// @param tokens of memory that the request needs.
     /// @param try_again called once, from the loop; the place is given up then.
     std::unique_ptr<ticket> join(
-        const std::string& service, const queue_rank& rank, double tokens,
-        std::function<void()> try_again);
+        const std::string& service, const policy::queue_rank& rank,
+        double tokens, std::function<void()> try_again);
 
     /// Room may have been set free somewhere: wakes the queue shortly.
     void room_freed();
@@ -53,8 +43,8 @@
     void slow_down(base::milliseconds min_wake_gap);
 
     /// @return the tokens that requests of a better rank wait for.
-    double
-    tokens_ahead(const std::string& service, const queue_rank& rank) const;
+    double tokens_ahead(
+        const std::string& service, const policy::queue_rank& rank) const;
     /// @return the tokens that all wait for, by service.
     std::map<std::string, double> waiting() const;
 
--- a/libs/mintknotd-platform/relay/src/answer_status.hpp
+++ b/libs/mintknotd-platform/relay/src/answer_status.hpp
@@ -12,6 +12,11 @@
     return status >= 200 && status < 300;
 }
 
+/// The server has failed at the request; another one may do better.
+inline bool is_server_failure(int status) noexcept {
+    return status >= 500;
+}
+
 } // namespace mintknot::relay
 
 #endif
--- a/libs/mintknotd-platform/relay/src/caller_session.cpp
+++ b/libs/mintknotd-platform/relay/src/caller_session.cpp
@@ -13,7 +13,6 @@
 constexpr std::size_t congested_bytes = 128 * 1024;
 /// How long a body may take beyond the time for its head.
 constexpr base::milliseconds body_time{20000};
-constexpr base::milliseconds come_back{300};
 
 } // namespace
 
@@ -191,7 +190,7 @@
     };
     const auto config = context_.state.config;
     if (config == nullptr) {
-        answer(503, "no_configuration", come_back);
+        answer(503, "no_configuration", policy::return_to_door);
         return;
     }
     const std::string* host = http1::find_field(request.head.fields, "Host");
@@ -204,17 +203,17 @@
     }
     if (context_.state.stopping &&
         !policy::may_begin(*route, since_stop(), context_.state.grace)) {
-        answer(503, "stopping", come_back);
+        answer(503, "stopping", policy::return_to_door);
         return;
     }
     if (context_.state.open_body_bytes > context_.options.max_body_bytes) {
-        answer(503, "memory_full", come_back);
+        answer(503, "memory_full", policy::return_to_door);
         return;
     }
     const auto service =
         config->services.find(traffic::choose_service(*route, context_.draw()));
     if (service == config->services.end()) {
-        answer(503, "unknown_service", come_back);
+        answer(503, "unknown_service", policy::return_to_door);
         return;
     }
     if (!body_.empty())
--- a/libs/mintknotd-platform/relay/src/exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/exchange.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
+/// Of a caller that names none: far beyond any route's timeout, which then
+/// decides.
 constexpr base::milliseconds default_deadline{60000};
-/// When a caller whose request has not run may come back.
-constexpr base::milliseconds soon{250};
 
 int status_of(base::verdict verdict, bool out_of_time) {
     if (verdict == base::verdict::not_run)
@@ -69,7 +69,7 @@
     if (may_be_running())
         raise(base::verdict::may_have_run);
     cancel_calls();
-    if (head_sent_)
+    if (attempts_.answer_begun)
         break_answer("deadline_passed");
     else
         give_up("deadline_passed");
@@ -89,7 +89,7 @@
 }
 
 void exchange::give_up(std::string_view reason) {
-    give_up(reason, soon);
+    give_up(reason, policy::default_return);
 }
 
 void exchange::give_up(std::string_view reason, base::milliseconds come_back) {
@@ -163,6 +163,13 @@
     sink_.break_off();
 }
 
+void exchange::end_by(policy::action what, std::string_view reason) {
+    if (what == policy::action::break_off)
+        break_answer(reason);
+    else
+        give_up(reason);
+}
+
 void exchange::finish(std::string_view outcome) {
     finished_ = true;
     deadline_timer_.stop();
--- a/libs/mintknotd-platform/relay/src/generation_exchange.hpp
+++ b/libs/mintknotd-platform/relay/src/generation_exchange.hpp
@@ -3,6 +3,7 @@
 #ifndef MINTKNOT_RELAY_GENERATION_EXCHANGE_HPP
 #define MINTKNOT_RELAY_GENERATION_EXCHANGE_HPP
 
+#include <mintknot/policy/call_charges.hpp>
 #include <mintknot/relay/exchange.hpp>
 #include <mintknot/traffic/event_splitter.hpp>
 
@@ -11,7 +12,8 @@
 /// Chooses a decode engine with room, has a prefill engine read the prompt,
 /// hands the result over and passes the events on. Reading may be repeated
 /// freely; decoding is what runs the request. A resumable stream goes on at
-/// another engine behind the last event that was passed on.
+/// another engine behind the last event that was passed on. The rules are in
+/// policy: admission, attempts, call_charges, engine_needs, timeouts.
 class generation_exchange final : public exchange {
 public:
     generation_exchange(
@@ -23,6 +25,19 @@
     void drained() override;
 
 private:
+    /// The prefill call at hand, and what earlier ones leave behind.
+    struct prefill_state {
+        std::unique_ptr<upstream::call> call;
+        std::string server; ///< Empty: none is under way.
+        std::string body;
+        int status = 0;
+        answer_terms terms;
+        base::steady_time started;
+        base::milliseconds expected{0};
+        double tokens_ahead = 0.0; ///< That were to be read before.
+        policy::excluded_servers tried;
+    };
+
     /// A KV cache that a prefill engine keeps for this request.
     struct kept_result {
         std::string server; ///< Empty: there is none.
@@ -31,17 +46,28 @@
         base::steady_time until;
     };
 
+    /// The decode call at hand, and what earlier ones leave behind.
+    struct decode_state {
+        std::unique_ptr<upstream::call> call;
+        std::string server; ///< On which memory is reserved; empty: none.
+        double reserved_tokens = 0.0;
+        base::steady_time placed;
+        base::steady_time started;
+        http1::response_head answer;
+        answer_terms terms;
+        std::string failure_body;
+        bool streaming = false;   ///< The answer at hand is the stream.
+        bool used_result = false; ///< It began from a kept result.
+        traffic::event_splitter splitter;
+        policy::excluded_servers tried;
+    };
+
     void run() override;
     void cancel_calls() override;
     bool may_be_running() const override;
 
     /// What the request needs now.
     policy::placement_query query() const;
-    /// @return how long a prefill engine may take. A decode engine that reads a
-    /// prompt slows all its streams down: it does so only where a prefill
-    /// engine would miss the target. Against half of the target it raised worth
-    /// by 0.011, 0.008 and 0.018 (thirty plays each on three deployments).
-    base::milliseconds read_limit() const;
     /// Places the request, or joins the queue.
     void place();
     void on_placed(const policy::placement& placed);
@@ -50,13 +76,13 @@
     /// Engines are there, but too many connections have failed in a row.
     void wait_for_connection();
     policy::unplaced_request describe_unplaced() const;
-    queue_rank rank(bool late) const;
+    policy::queue_rank rank(bool late) const;
     /// @return the wait behind all that go before.
     std::optional<base::milliseconds>
     expected_wait(const policy::room_forecast& forecast) const;
     void join_queue(bool late);
-    /// @return what a refusal tells the caller.
-    base::milliseconds come_back(
+    /// @return what a refusal for want of room tells the caller.
+    base::milliseconds return_time(
         const policy::room_forecast& forecast,
         std::optional<base::milliseconds> expected);
     void log_room(
@@ -64,19 +90,18 @@
         std::optional<base::milliseconds> expected);
     /// @return true if a kept result can still be handed over.
     bool result_usable() const;
-    /// @return true if one more call may be sent, and `calls` in all are within
-    /// the retry allowance. The first prefill that an engine takes up does not
-    /// count.
-    bool may_send(int calls);
-    /// Takes calls out of the allowance ahead of time.
-    bool prepay(int calls);
-    void note_taken_up();
+    /// Takes repeats out of the allowance until so many are prepaid.
+    /// @return false if it is spent; what was taken stays prepaid.
+    bool prepay(int repeats);
     void release_decode();
     double memory_needed() const;
 
     /// @param ahead tokens that the engine reads before.
     void start_prefill(const traffic::server& engine, double ahead);
+    void log_prefill() const;
     void on_prefill_done();
+    void keep_result(const prefill_result& result);
+    void note_read_time(base::milliseconds took);
     void on_prefill_failure(upstream::call_failure why);
     void on_prefill_silence();
     void
@@ -84,58 +109,38 @@
     void end_prefill();
 
     void start_decode();
+    void log_decode() const;
+    void send_decode(const traffic::server& engine);
     void on_decode_head(http1::response_head& head);
     void on_decode_body(std::string_view piece);
     void on_decode_done();
+    void finish_stream();
     void on_decode_failure(upstream::call_failure why);
     void on_decode_silence();
     void after_rejected_decode();
+    void log_rejection() const;
     void watch_silence();
     /// Tells how much of the engine a finished decode has taken.
     void note_demand();
-    void go_on_elsewhere(policy::call_result result, std::string_view reason);
-    bool may_resume() const;
+    /// The decode has ended so: asks what comes next, and does it.
+    void after_decode(policy::call_end end, policy::call_result result);
+    void take(const policy::next_step& step);
+    void resume(std::string_view reason);
 
     /// Takes how long it took until the first event.
     void note_pace_of_start();
     void pass_on(const std::string& events);
+    void send_head();
     /// Frees a kept result that will not be used.
     void drop_result();
 
     std::unique_ptr<placement_ticket> placement_;
     std::string placed_by_; ///< Host that chose the servers; empty: this one.
-    std::unique_ptr<upstream::call> prefill_call_;
-    std::string prefill_server_;
-    std::string prefill_body_;
-    int prefill_status_ = 0;
-    answer_terms prefill_terms_;
-    base::steady_time prefill_started_;
-    base::milliseconds prefill_expected_{0};
-    double prefill_ahead_ = 0.0; ///< Tokens that were to be read before.
-    policy::excluded_servers prefill_tried_;
-    int prefills_ = 0;
-    int arrivals_ = 0; ///< Calls that count against the retry allowance.
-    int prepaid_ = 0;  ///< Calls that the allowance has been charged for.
-    bool prefill_taken_up_ = false;
+    policy::call_charges charges_;
+    prefill_state prefill_;
     kept_result kept_;
-
-    std::unique_ptr<upstream::call> decode_call_;
-    std::string decode_server_;
-    double decode_reserved_ = 0.0;
-    base::steady_time placed_at_;
-    base::steady_time decode_started_;
-    policy::excluded_servers decode_tried_;
-    http1::response_head answer_;
-    answer_terms answer_terms_;
-    std::string failure_body_;
-    bool streaming_ = false;   ///< The answer at hand is the stream.
-    bool took_result_ = false; ///< The decode began from a kept result.
-    traffic::event_splitter splitter_;
-    std::optional<std::uint64_t> last_event_;
-    int runs_ = 0;
-    int rejected_ = 0;
-    int unreachable_ = 0;
-
+    decode_state decode_;
+    std::optional<std::uint64_t> last_event_; ///< That was passed on.
     std::unique_ptr<wait_queue::ticket> queue_ticket_;
     event::timer wait_timer_;
     event::timer silence_timer_;
--- a/libs/mintknotd-platform/relay/src/generation_prefill.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_prefill.cpp
@@ -4,92 +4,84 @@
 #include "answer_status.hpp"
 #include "generation_exchange.hpp"
 
-#include <algorithm>
+#include <mintknot/policy/timeouts.hpp>
 
 namespace mintknot::relay {
 
 namespace {
 
 constexpr std::size_t max_result_bytes = 64 * 1024;
-/// A kept result is used only while this much of its life is left.
-constexpr base::milliseconds result_margin{60};
-/// How long a prefill may take beyond what is expected.
-constexpr int prefill_patience = 3;
-constexpr base::milliseconds min_prefill_patience{250};
 
 } // namespace
 
-void generation_exchange::note_taken_up() {
-    if (prefill_taken_up_)
-        return;
-    prefill_taken_up_ = true;
-    --arrivals_;
-}
-
 void generation_exchange::start_prefill(
     const traffic::server& engine, double ahead) {
     const double tokens = request_.terms.prompt_tokens;
-    prefill_ahead_ = ahead;
-    prefill_expected_ =
+    prefill_.tokens_ahead = ahead;
+    prefill_.expected =
         policy::read_time(context_.state.rates, engine.id, ahead + tokens);
-    prefill_server_ = engine.id;
-    prefill_tried_.insert(engine.id);
-    prefill_started_ = context_.loop.now();
-    prefill_body_.clear();
-    ++prefills_;
-    ++arrivals_;
+    prefill_.server = engine.id;
+    prefill_.tried.insert(engine.id);
+    prefill_.started = context_.loop.now();
+    prefill_.body.clear();
+    ++attempts_.prefills;
+    policy::note_sent(charges_);
     note_offer();
-    add_load(context_, prefill_server_, {1, tokens, 0.0});
-    context_.log.write(
-        "prefill", {{"request", request_.terms.id},
-                    {"route", route_.name},
-                    {"server", prefill_server_},
-                    {"decode", decode_server_},
-                    {"placed_by", placed_by_},
-                    {"tokens", tokens},
-                    {"expected_ms", prefill_expected_.count()},
-                    {"try", std::int64_t{prefills_}},
-                    {"config", static_cast<std::int64_t>(config_->version)}});
+    add_load(context_, prefill_.server, {1, tokens, 0.0});
+    log_prefill();
     call_terms terms = terms_for(engine);
     terms.stage = call_stage::prefill;
     kept_ = {};
     kept_.place = base::to_string(engine.where);
-    prefill_call_ = upstream::call::start(
+    prefill_.call = upstream::call::start(
         context_.pool, {engine.id, engine.where}, call_for(terms), {},
         {[this](const http1::response_head& head) { return belongs(head); },
          [this](http1::response_head& head) {
-             prefill_status_ = head.status;
-             prefill_terms_ = context_.protocol.read_answer(head);
+             prefill_.status = head.status;
+             prefill_.terms = context_.protocol.read_answer(head);
          },
          [this](std::string_view piece) {
-             if (prefill_body_.size() < max_result_bytes)
-                 prefill_body_.append(piece);
+             if (prefill_.body.size() < max_result_bytes)
+                 prefill_.body.append(piece);
          },
          [this] { on_prefill_done(); },
          [this](upstream::call_failure why) { on_prefill_failure(why); }});
-    silence_timer_.start(
-        std::max(min_prefill_patience, prefill_expected_ * prefill_patience),
-        [this] { on_prefill_silence(); });
+    silence_timer_.start(policy::prefill_timeout(prefill_.expected), [this] {
+        on_prefill_silence();
+    });
+}
+
+void generation_exchange::log_prefill() const {
+    context_.log.write(
+        "prefill", {{"request", request_.terms.id},
+                    {"route", route_.name},
+                    {"server", prefill_.server},
+                    {"decode", decode_.server},
+                    {"placed_by", placed_by_},
+                    {"tokens", request_.terms.prompt_tokens},
+                    {"expected_ms", prefill_.expected.count()},
+                    {"try", std::int64_t{attempts_.prefills}},
+                    {"config", static_cast<std::int64_t>(config_->version)}});
 }
 
 void generation_exchange::end_prefill() {
     silence_timer_.stop();
-    prefill_call_.reset();
-    if (prefill_server_.empty())
+    prefill_.call.reset();
+    if (prefill_.server.empty())
         return;
     remove_load(
-        context_, prefill_server_, {1, request_.terms.prompt_tokens, 0.0});
-    prefill_server_.clear();
+        context_, prefill_.server, {1, request_.terms.prompt_tokens, 0.0});
+    prefill_.server.clear();
 }
 
 void generation_exchange::on_prefill_done() {
     const std::optional<prefill_result> result =
-        is_success(prefill_status_)
-            ? context_.protocol.read_prefill(prefill_body_)
+        is_success(prefill_.status)
+            ? context_.protocol.read_prefill(prefill_.body)
             : std::nullopt;
     if (!result) {
-        const bool misdirected = prefill_status_ == status_misdirected;
-        const bool rejected = prefill_terms_.not_executed;
+        const bool misdirected = prefill_.status == status_misdirected;
+        const bool rejected = prefill_.terms.not_executed;
         after_failed_prefill(
             misdirected ? policy::call_result::misdirected
             : rejected  ? policy::call_result::rejected
@@ -97,28 +89,35 @@
             rejected ? "prefill_rejected" : "prefill_failed");
         return;
     }
-    const base::steady_time now = context_.loop.now();
-    const auto took =
-        std::chrono::duration_cast<base::milliseconds>(now - prefill_started_);
-    policy::note_read(
-        context_.state.rates, prefill_server_,
-        request_.terms.prompt_tokens + prefill_ahead_, took);
-    if (prefill_ahead_ <= 0.0)
-        policy::note_read_alone(
-            context_.state.demands[service_.name], request_.terms.prompt_tokens,
-            took);
+    note_read_time(std::chrono::duration_cast<base::milliseconds>(
+        context_.loop.now() - prefill_.started));
     note_result(
-        context_, prefill_server_, policy::call_result::good,
+        context_, prefill_.server, policy::call_result::good,
         request_.terms.id);
-    note_taken_up();
-    kept_.server = prefill_server_;
-    kept_.handle = result->handle;
-    kept_.place = context_.protocol.result_place(kept_.place, result->handle);
-    kept_.until = now + service_.engine->handle_life - result_margin;
+    policy::note_prefill_end(charges_, policy::call_result::good);
+    keep_result(*result);
     end_prefill();
     start_decode();
 }
 
+void generation_exchange::note_read_time(base::milliseconds took) {
+    const double tokens = request_.terms.prompt_tokens;
+    policy::note_read(
+        context_.state.rates, prefill_.server, tokens + prefill_.tokens_ahead,
+        took);
+    if (prefill_.tokens_ahead <= 0.0)
+        policy::note_read_alone(
+            context_.state.demands[service_.name], tokens, took);
+}
+
+void generation_exchange::keep_result(const prefill_result& result) {
+    kept_.server = prefill_.server;
+    kept_.handle = result.handle;
+    kept_.place = context_.protocol.result_place(kept_.place, result.handle);
+    kept_.until =
+        context_.loop.now() + policy::usable_life(service_.engine->handle_life);
+}
+
 void generation_exchange::on_prefill_failure(upstream::call_failure why) {
     if (why == upstream::call_failure::unreachable)
         after_failed_prefill(
@@ -133,16 +132,11 @@
 
 void generation_exchange::after_failed_prefill(
     policy::call_result result, std::string_view reason) {
-    note_result(context_, prefill_server_, result, request_.terms.id);
-    if (result == policy::call_result::unreachable)
-        --arrivals_;
-    else if (
-        result == policy::call_result::failed ||
-        result == policy::call_result::slow)
-        note_taken_up();
+    note_result(context_, prefill_.server, result, request_.terms.id);
+    policy::note_prefill_end(charges_, result);
     context_.log.write(
         "prefill_again", {{"request", request_.terms.id},
-                          {"server", prefill_server_},
+                          {"server", prefill_.server},
                           {"reason", reason},
                           {"after_ms", since_arrival().count()}});
     end_prefill();
--- a/libs/mintknotd-platform/relay/src/plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.cpp
@@ -2,26 +2,14 @@
 
 #include "answer_status.hpp"
 
-#include <algorithm>
+#include <mintknot/policy/timeouts.hpp>
 
 namespace mintknot::relay {
 
 namespace {
 
-/// Answers up to this size are held until they are whole.
+/// Answers up to this size are held until they are whole. Not measured.
 constexpr std::size_t max_held_bytes = 256 * 1024;
-constexpr int max_rejections = 3;
-constexpr int max_unreachable = 4;
-/// Silence after which a server is doubted: some target latencies, but early
-/// enough that a repeatable request can still be answered elsewhere.
-constexpr int patience = 3;
-constexpr base::milliseconds min_patience{300};
-
-base::milliseconds patience_for(const traffic::route& route) {
-    return std::max(
-        min_patience,
-        std::min(route.target_latency * patience, route.timeout / 2));
-}
 
 } // namespace
 
@@ -38,7 +26,7 @@
 }
 
 void plain_exchange::run() {
-    send();
+    place();
 }
 
 void plain_exchange::cancel_calls() {
@@ -59,7 +47,7 @@
     server_.clear();
 }
 
-void plain_exchange::send() {
+void plain_exchange::place() {
     policy::placement_query wanted;
     wanted.service = service_.name;
     wanted.excluded = tried_;
@@ -71,16 +59,19 @@
 void plain_exchange::on_placed(const policy::placement& placed) {
     const traffic::server* chosen =
         traffic::find(context_.state.servers, placed.server);
-    if (chosen == nullptr || chosen->draining) {
-        give_up(
-            "no_backend_server", return_after_outage(context_, service_.name));
-        return;
-    }
-    server_ = chosen->id;
-    tried_.insert(chosen->id);
+    if (chosen == nullptr || chosen->draining)
+        take(next_step(policy::call_end::no_server));
+    else
+        send(*chosen, placed.by);
+}
+
+void plain_exchange::send(
+    const traffic::server& server, const std::string& placed_by) {
+    server_ = server.id;
+    tried_.insert(server.id);
     add_load(context_, server_, {1, 0.0, 0.0});
     ++sends_;
-    ++runs_;
+    ++attempts_.runs;
     note_offer();
     answer_ = {};
     answer_terms_ = {};
@@ -89,19 +80,20 @@
         "sent", {{"request", request_.terms.id},
                  {"route", route_.name},
                  {"server", server_},
-                 {"placed_by", placed.by},
+                 {"placed_by", placed_by},
                  {"send", std::int64_t{sends_}},
                  {"config", static_cast<std::int64_t>(config_->version)},
                  {"left_ms", time_left().count()}});
     call_ = upstream::call::start(
-        context_.pool, {chosen->id, chosen->where},
-        call_for(terms_for(*chosen)), {},
+        context_.pool, {server.id, server.where}, call_for(terms_for(server)),
+        {},
         {[this](const http1::response_head& head) { return belongs(head); },
          [this](http1::response_head& head) { on_head(head); },
          [this](std::string_view piece) { on_body(piece); },
          [this] { on_done(); },
          [this](upstream::call_failure why) { on_failure(why); }});
-    silence_timer_.start(patience_for(route_), [this] { on_silence(); });
+    silence_timer_.start(
+        policy::plain_timeout(route_), [this] { on_silence(); });
 }
 
 void plain_exchange::on_head(http1::response_head& head) {
@@ -111,23 +103,22 @@
 }
 
 void plain_exchange::on_body(std::string_view piece) {
-    if (head_sent_) {
+    if (attempts_.answer_begun) {
         sink_.data(piece);
         if (sink_.congested())
             call_->pause();
         return;
     }
     body_.append(piece);
-    const bool success = is_success(answer_.status);
     const bool stream = answer_terms_.event_stream && answer_terms_.sealed &&
-                        !answer_terms_.encoded && success;
+                        !answer_terms_.encoded && is_success(answer_.status);
     if (stream || body_.size() > max_held_bytes)
         start_streaming();
 }
 
 void plain_exchange::start_streaming() {
     raise(base::verdict::ran);
-    head_sent_ = true;
+    attempts_.answer_begun = true;
     note_first_byte();
     http1::response_head head = answer_;
     http1::erase_hop_fields(head.fields);
@@ -141,106 +132,107 @@
         call_->resume();
 }
 
-bool plain_exchange::may_repeat_after_run() const {
-    return route_.repeatable() && runs_ < route_.max_attempts;
+policy::call_end plain_exchange::end_of_answer() const {
+    if (answer_terms_.not_executed || answer_.status == status_misdirected)
+        return policy::call_end::rejected;
+    const bool unsealed = is_success(answer_.status) && !answer_terms_.sealed;
+    if (answer_terms_.encoded || unsealed)
+        return policy::call_end::bad_answer;
+    return is_server_failure(answer_.status) ? policy::call_end::server_failure
+                                             : policy::call_end::answered;
 }
 
 void plain_exchange::on_done() {
-    const std::string server = server_;
-    release_load();
-    call_.reset();
-    if (head_sent_) {
+    if (attempts_.answer_begun) {
+        const std::string server = server_;
+        release_load();
+        call_.reset();
         note_result(
             context_, server, policy::call_result::good, request_.terms.id);
         end_answer("answered");
         return;
     }
-    if (answer_terms_.not_executed || answer_.status == status_misdirected) {
-        --runs_;
-        ++rejected_;
-        const bool misdirected = answer_.status == status_misdirected;
-        note_result(
-            context_, server,
-            misdirected ? policy::call_result::misdirected
-                        : policy::call_result::rejected,
-            request_.terms.id);
-        if (rejected_ > max_rejections)
-            give_up("server_rejected");
-        else
-            send_again("server_rejected");
+    const policy::call_end end = end_of_answer();
+    if (end == policy::call_end::rejected) {
+        --attempts_.runs;
+        ++attempts_.rejections;
+        after(
+            end, answer_.status == status_misdirected
+                     ? policy::call_result::misdirected
+                     : policy::call_result::rejected);
         return;
     }
     raise(base::verdict::ran);
-    const bool success = is_success(answer_.status);
-    const bool spoiled =
-        answer_terms_.encoded || (success && !answer_terms_.sealed);
-    const bool failed = spoiled || answer_.status >= 500;
-    note_result(
-        context_, server,
-        failed ? policy::call_result::failed : policy::call_result::good,
-        request_.terms.id);
-    if (failed && may_repeat_after_run() &&
-        time_left() > base::milliseconds{0} &&
-        spend_repeat(context_, service_.name)) {
-        context_.metrics.count_repeat("server_failure");
-        send();
-        return;
-    }
-    if (spoiled)
-        give_up("bad_answer");
-    else
-        answer_whole(std::move(answer_), std::move(body_));
+    after(
+        end, end == policy::call_end::answered ? policy::call_result::good
+                                               : policy::call_result::failed);
 }
 
 void plain_exchange::on_failure(upstream::call_failure why) {
     silence_timer_.stop();
-    const std::string server = server_;
-    release_load();
-    call_.reset();
     if (why == upstream::call_failure::unreachable) {
-        --runs_;
-        ++unreachable_;
-        note_result(
-            context_, server, policy::call_result::unreachable,
-            request_.terms.id);
-        // Nothing was sent, so that this costs no allowance.
-        if (unreachable_ > max_unreachable)
-            give_up(
-                "server_unreachable",
-                return_after_outage(context_, service_.name));
-        else
-            send();
+        --attempts_.runs;
+        ++attempts_.unreachable;
+        after(policy::call_end::unreachable, policy::call_result::unreachable);
         return;
     }
     raise(base::verdict::may_have_run);
-    note_result(
-        context_, server, policy::call_result::failed, request_.terms.id);
-    if (head_sent_)
-        break_answer("server_broke_off");
-    else
-        send_again("server_broke_off");
+    after(policy::call_end::broken_off, policy::call_result::failed);
+}
+
+void plain_exchange::after(policy::call_end end, policy::call_result result) {
+    const std::string server = server_;
+    release_load();
+    call_.reset();
+    note_result(context_, server, result, request_.terms.id);
+    take(next_step(end));
 }
 
 void plain_exchange::on_silence() {
     note_result(
         context_, server_, policy::call_result::slow, request_.terms.id);
-    if (!may_repeat_after_run() || !spend_repeat(context_, service_.name))
+    const policy::next_step step = next_step(policy::call_end::silent);
+    if (step.what == policy::action::keep_waiting ||
+        !spend_repeat(context_, service_.name))
         return;
     raise(base::verdict::may_have_run);
     cancel_calls();
-    context_.metrics.count_repeat("server_silent");
-    send();
+    context_.metrics.count_repeat(step.reason);
+    place();
+}
+
+policy::next_step plain_exchange::next_step(policy::call_end end) const {
+    return policy::after_plain_call(
+        end, route_, attempts_,
+        {verdict_, answer_terms_.not_executed, time_left()});
 }
 
-void plain_exchange::send_again(std::string_view reason) {
-    const bool allowed = answer_terms_.not_executed || may_repeat_after_run() ||
-                         verdict_ == base::verdict::not_run;
-    if (!allowed || !spend_repeat(context_, service_.name)) {
-        give_up(reason);
+void plain_exchange::take(const policy::next_step& step) {
+    if (step.what != policy::action::send_again) {
+        end_with(step.what, step);
+        return;
+    }
+    if (step.costs_repeat) {
+        if (!spend_repeat(context_, service_.name)) {
+            end_with(step.otherwise, step);
+            return;
+        }
+        context_.metrics.count_repeat(step.reason);
+    }
+    place();
+}
+
+void plain_exchange::end_with(
+    policy::action what, const policy::next_step& step) {
+    if (what == policy::action::deliver) {
+        answer_whole(std::move(answer_), std::move(body_));
+        return;
+    }
+    if (step.server_out_of_reach) {
+        give_up(step.reason, return_after_outage(context_, service_.name));
         return;
     }
-    context_.metrics.count_repeat(reason);
-    send();
+    end_by(what, what == step.what ? step.reason : step.otherwise_reason);
 }
 
 } // namespace mintknot::relay
--- a/libs/mintknotd-platform/relay/src/plain_exchange.hpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.hpp
@@ -8,7 +8,8 @@
 namespace mintknot::relay {
 
 /// Sends the request to a server and its answer back. Small answers are held
-/// until they are whole, so that a broken one can still be replaced.
+/// until they are whole, so that a broken one can still be replaced. What
+/// follows each call is the rule of policy::after_plain_call().
 class plain_exchange final : public exchange {
 public:
     plain_exchange(
@@ -24,17 +25,24 @@
     void cancel_calls() override;
     bool may_be_running() const override;
 
-    void send();
+    void place();
     void on_placed(const policy::placement& placed);
+    void send(const traffic::server& server, const std::string& placed_by);
     void on_head(http1::response_head& head);
     void on_body(std::string_view piece);
     void on_done();
     void on_failure(upstream::call_failure why);
     void on_silence();
     void start_streaming();
-    /// Sends again if that is allowed, else gives up.
-    void send_again(std::string_view reason);
-    bool may_repeat_after_run() const;
+
+    /// @return what a whole answer means for the next step.
+    policy::call_end end_of_answer() const;
+    /// The call has ended so: asks what comes next, and does it.
+    void after(policy::call_end end, policy::call_result result);
+    policy::next_step next_step(policy::call_end end) const;
+    void take(const policy::next_step& step);
+    /// Does a step that ends the exchange.
+    void end_with(policy::action what, const policy::next_step& step);
     void release_load();
 
     std::unique_ptr<placement_ticket> placement_;
@@ -45,9 +53,6 @@
     answer_terms answer_terms_;
     std::string body_;
     event::timer silence_timer_;
-    int runs_ = 0;     ///< Calls that a server may have run.
-    int rejected_ = 0; ///< Calls that servers turned away.
-    int unreachable_ = 0;
 };
 
 } // namespace mintknot::relay
--- a/libs/mintknotd-platform/relay/src/router_state.cpp
+++ b/libs/mintknotd-platform/relay/src/router_state.cpp
@@ -1,6 +1,7 @@
 #include <mintknot/relay/router_state.hpp>
 
-#include <algorithm>
+#include <mintknot/policy/queue_order.hpp>
+
 #include <utility>
 
 namespace mintknot::relay {
@@ -9,14 +10,6 @@
 
 /// How long a peer counts as heard. Large groups speak rarely.
 constexpr base::milliseconds peer_life{4000};
-/// Of the requests that wait elsewhere, as many have come before a request as
-/// after it.
-constexpr double part_ahead = 0.5;
-
-/// Between the first failed calls an outage is as good as over.
-constexpr base::milliseconds min_outage{250};
-/// Callers name deadlines of some seconds: later than this, none would come.
-constexpr base::milliseconds max_outage{30000};
 
 void tell_load_change(router_context& context) {
     if (context.state.on_load_change)
@@ -107,7 +100,7 @@
             now - told.heard <= traffic::load_life)
             sum += found->second;
     }
-    return sum * part_ahead;
+    return sum * policy::elsewhere_share_ahead;
 }
 
 base::milliseconds
@@ -116,7 +109,7 @@
         context.state.health,
         traffic::open_servers(context.state.servers, service),
         context.loop.now());
-    return std::clamp(age, min_outage, max_outage);
+    return policy::return_after_outage(age);
 }
 
 bool spend_repeat(router_context& context, const std::string& service) {
--- a/libs/mintknotd-platform/relay/src/wait_queue.cpp
+++ b/libs/mintknotd-platform/relay/src/wait_queue.cpp
@@ -16,7 +16,7 @@
 
 struct waiter {
     std::string service;
-    queue_rank rank;
+    policy::queue_rank rank;
     double tokens = 0.0;
     std::function<void()> try_again;
 };
@@ -76,7 +76,7 @@
 wait_queue::~wait_queue() = default;
 
 std::unique_ptr<wait_queue::ticket> wait_queue::join(
-    const std::string& service, const queue_rank& rank, double tokens,
+    const std::string& service, const policy::queue_rank& rank, double tokens,
     std::function<void()> try_again) {
     class kept_ticket final : public ticket {
     public:
@@ -116,7 +116,7 @@
 }
 
 double wait_queue::tokens_ahead(
-    const std::string& service, const queue_rank& rank) const {
+    const std::string& service, const policy::queue_rank& rank) const {
     double sum = 0.0;
     for (const auto& [number, entry] : impl_->waiters)
         if (entry.service == service && entry.rank < rank)
