--- a/libs/mintknotd-platform/logging/include/mintknot/logging/line_log.hpp
+++ b/libs/mintknotd-platform/logging/include/mintknot/logging/line_log.hpp
@@ -43,7 +43,6 @@
 
     void write(std::string_view event, std::initializer_list<log_field> fields);
 
-    std::uint64_t written() const noexcept;
     std::uint64_t left_out() const noexcept;
 
 private:
--- a/libs/mintknotd-platform/logging/src/line_log.cpp
+++ b/libs/mintknotd-platform/logging/src/line_log.cpp
@@ -55,7 +55,6 @@
     log_bounds bounds;
     double tokens;
     base::steady_time refilled;
-    std::uint64_t written = 0;
     std::uint64_t left_out = 0;
     std::uint64_t told = 0; ///< Of those left out.
 };
@@ -87,11 +86,6 @@
         return;
     }
     impl_->told = impl_->left_out;
-    ++impl_->written;
-}
-
-std::uint64_t line_log::written() const noexcept {
-    return impl_->written;
 }
 
 std::uint64_t line_log::left_out() const noexcept {
--- a/libs/mintknotd-platform/logging/tests/test_line_log.cpp
+++ b/libs/mintknotd-platform/logging/tests/test_line_log.cpp
@@ -3,6 +3,7 @@
 #include <criterion/criterion.h>
 #include <nlohmann/json.hpp>
 
+#include <algorithm>
 #include <fcntl.h>
 #include <unistd.h>
 
@@ -63,7 +64,8 @@
     line_log log(out.ends[1], "e1", {0.0, 3.0});
     for (int i = 0; i < 10; ++i)
         log.write("x", {});
-    cr_assert(log.written() == 3);
+    const std::string text = out.read_all();
+    cr_assert(std::count(text.begin(), text.end(), '\n') == 3);
     cr_assert(log.left_out() == 7);
 }
 
--- /dev/null
+++ b/libs/mintknotd-platform/policy/tests/test_retry_bound.cpp
@@ -0,0 +1,113 @@
+/// @file
+/// The bound on repeats over a whole group whose instances hear of each other
+/// late, as they do in large groups.
+
+#include <mintknot/policy/retry_allowance.hpp>
+
+#include <criterion/criterion.h>
+
+#include <deque>
+#include <vector>
+
+using namespace mintknot;
+using namespace mintknot::policy;
+using base::milliseconds;
+
+namespace {
+
+constexpr std::size_t instances = 58;
+constexpr int requests_per_second = 356;
+/// Calls that full servers turn away are sent again up to so often.
+constexpr int repeats_wanted = 3;
+const retry_bounds bounds{0.2, 156.0, milliseconds{10000}};
+const base::steady_time begin = base::steady_time{} + std::chrono::hours(1);
+
+/// One instance, and what the others have last heard of it.
+struct member {
+    retry_allowance allowance;
+    retry_usage told;
+    base::steady_time told_at = begin;
+};
+
+class group {
+public:
+    /// @param silence time between two heartbeats of one instance.
+    explicit group(milliseconds silence)
+        : silence_(silence)
+        , members_(instances) {}
+
+    /// Plays so long. @return the most that was used of the bound in any
+    /// window, as a share of what the bound allows.
+    double play(milliseconds time, bool servers_full) {
+        double largest = 0.0;
+        const base::steady_time end = now_ + time;
+        const milliseconds gap{1000 / requests_per_second};
+        for (; now_ < end; now_ += gap) {
+            request(servers_full);
+            largest = std::max(largest, share_used());
+        }
+        return largest;
+    }
+
+private:
+    void request(bool servers_full) {
+        member& at = members_[next_++ % instances];
+        earn(at.allowance, bounds, now_);
+        requests_.push_back(now_);
+        for (int i = 0; servers_full && i < repeats_wanted; ++i)
+            if (spend(at.allowance, bounds, terms_for(at), now_))
+                repeats_.push_back(now_);
+        if (now_ - at.told_at >= silence_) {
+            at.told = usage(at.allowance, bounds, now_);
+            at.told_at = now_;
+        }
+    }
+
+    spend_terms terms_for(const member& self) const {
+        spend_terms terms;
+        terms.instances = instances;
+        terms.started = begin;
+        terms.fleet.heard = instances - 1;
+        for (const member& other : members_) {
+            if (&other == &self)
+                continue;
+            terms.fleet.peers.requests += other.told.requests;
+            terms.fleet.peers.repeats += other.told.repeats;
+        }
+        return terms;
+    }
+
+    double share_used() {
+        for (auto* times : {&requests_, &repeats_})
+            while (!times->empty() && now_ - times->front() > bounds.window)
+                times->pop_front();
+        const double allowed =
+            bounds.extra + bounds.ratio * static_cast<double>(requests_.size());
+        return static_cast<double>(repeats_.size()) / allowed;
+    }
+
+    milliseconds silence_;
+    std::vector<member> members_;
+    std::size_t next_ = 0;
+    base::steady_time now_ = begin;
+    std::deque<base::steady_time> requests_;
+    std::deque<base::steady_time> repeats_;
+};
+
+double largest_share(milliseconds silence) {
+    group all(silence);
+    all.play(std::chrono::seconds(15), false);
+    return all.play(std::chrono::seconds(15), true);
+}
+
+} // namespace
+
+Test(retry_bound, holds_where_heartbeats_follow_each_change) {
+    const double share = largest_share(milliseconds{60});
+    cr_assert(share <= 1.0, "%.2f of the bound were used", share);
+}
+
+Test(retry_bound, holds_where_other_data_centres_are_told_rarely) {
+    const double share = largest_share(milliseconds{1200});
+    cr_assert(share <= 1.0, "%.2f of the bound were used", share);
+}
--- a/libs/mintknotd-platform/traffic/include/mintknot/traffic/configuration.hpp
+++ b/libs/mintknotd-platform/traffic/include/mintknot/traffic/configuration.hpp
@@ -22,8 +22,6 @@
     streaming, ///< A series of events; runs once unless it is resumable.
 };
 
-std::string_view to_string(route_kind value) noexcept;
-
 /// A service's share of a route.
 struct weighted_service {
     std::string name;
--- a/libs/mintknotd-platform/traffic/include/mintknot/traffic/event_splitter.hpp
+++ b/libs/mintknotd-platform/traffic/include/mintknot/traffic/event_splitter.hpp
@@ -23,9 +23,6 @@
 /// that is a number.
 std::optional<std::uint64_t> last_event_id(std::string_view events);
 
-/// @return the ID of the first event, if it has one that is a number.
-std::optional<std::uint64_t> first_event_id(std::string_view events);
-
 } // namespace mintknot::traffic
 
 #endif
--- a/libs/mintknotd-platform/traffic/src/configuration.cpp
+++ b/libs/mintknotd-platform/traffic/src/configuration.cpp
@@ -23,18 +23,6 @@
 
 } // namespace
 
-std::string_view to_string(route_kind value) noexcept {
-    switch (value) {
-    case route_kind::safe:
-        return "safe";
-    case route_kind::unsafe:
-        return "unsafe";
-    case route_kind::streaming:
-        return "streaming";
-    }
-    return "unknown";
-}
-
 void index(configuration& value) {
     value.by_place.clear();
     for (std::size_t i = 0; i < value.routes.size(); ++i) {
--- a/libs/mintknotd-platform/traffic/src/event_splitter.cpp
+++ b/libs/mintknotd-platform/traffic/src/event_splitter.cpp
@@ -34,24 +34,6 @@
     return id;
 }
 
-std::optional<std::uint64_t> find_id(std::string_view events, bool first) {
-    std::optional<std::uint64_t> found;
-    while (!events.empty()) {
-        const std::size_t end = events.find('\n');
-        const std::optional<std::uint64_t> id =
-            parse_id_line(events.substr(0, end));
-        if (id) {
-            found = id;
-            if (first)
-                return found;
-        }
-        if (end == std::string_view::npos)
-            break;
-        events.remove_prefix(end + 1);
-    }
-    return found;
-}
-
 } // namespace
 
 std::string push(event_splitter& splitter, std::string_view piece) {
@@ -65,11 +47,16 @@
 }
 
 std::optional<std::uint64_t> last_event_id(std::string_view events) {
-    return find_id(events, false);
-}
-
-std::optional<std::uint64_t> first_event_id(std::string_view events) {
-    return find_id(events, true);
+    std::optional<std::uint64_t> found;
+    while (!events.empty()) {
+        const std::size_t end = events.find('\n');
+        if (const auto id = parse_id_line(events.substr(0, end)))
+            found = id;
+        if (end == std::string_view::npos)
+            break;
+        events.remove_prefix(end + 1);
+    }
+    return found;
 }
 
 } // namespace mintknot::traffic
--- a/libs/mintknotd-platform/traffic/tests/test_event_splitter.cpp
+++ b/libs/mintknotd-platform/traffic/tests/test_event_splitter.cpp
@@ -26,7 +26,6 @@
 
 Test(event_splitter, finds_the_ids) {
     const std::string events = "id: 4\ndata: id: 9\n\nid:5\ndata: x\n\n";
-    cr_assert(first_event_id(events) == 4u);
     cr_assert(last_event_id(events) == 5u);
     cr_assert(!last_event_id("data: x\n\n"));
     cr_assert(!last_event_id("id: abc\n\n"));
--- a/libs/mintknotd-platform/upstream/include/mintknot/upstream/call.hpp
+++ b/libs/mintknotd-platform/upstream/include/mintknot/upstream/call.hpp
@@ -20,8 +20,6 @@
     bad_answer,  ///< What came is no answer to this call.
 };
 
-std::string_view to_string(call_failure value) noexcept;
-
 /// What a call tells its owner. At most one of on_done and on_failure is
 /// called, and nothing after it.
 struct call_handlers {
@@ -59,8 +57,6 @@
     call(const call&) = delete;
     call& operator=(const call&) = delete;
 
-    /// Closes the connection; no handler runs any more.
-    void cancel();
     /// Stops reading the answer, or goes on.
     void pause();
     void resume();
--- a/libs/mintknotd-platform/upstream/src/call.cpp
+++ b/libs/mintknotd-platform/upstream/src/call.cpp
@@ -32,18 +32,6 @@
 
 } // namespace
 
-std::string_view to_string(call_failure value) noexcept {
-    switch (value) {
-    case call_failure::unreachable:
-        return "unreachable";
-    case call_failure::ended:
-        return "ended";
-    case call_failure::bad_answer:
-        return "bad_answer";
-    }
-    return "unknown";
-}
-
 struct call::impl : std::enable_shared_from_this<call::impl> {
     impl(
         connection_pool& connections, target server, call_request what,
@@ -269,10 +257,6 @@
     return result;
 }
 
-void call::cancel() {
-    impl_->cancel();
-}
-
 void call::pause() {
     if (impl_->link != nullptr)
         impl_->link->pause_reading();
--- a/libs/mintknotd/cluster/include/mintknot/cluster/datagram_socket.hpp
+++ b/libs/mintknotd/cluster/include/mintknot/cluster/datagram_socket.hpp
@@ -38,9 +38,6 @@
     void run(const receiver& on_datagram);
     void stop();
 
-    /// @return bytes sent since the socket was opened.
-    std::uint64_t bytes_sent() const noexcept;
-
 private:
     struct impl;
     std::unique_ptr<impl> impl_;
--- a/libs/mintknotd/cluster/src/datagram_socket.cpp
+++ b/libs/mintknotd/cluster/src/datagram_socket.cpp
@@ -20,7 +20,6 @@
     asio::io_context context;
     asio::ip::udp::socket socket{context};
     std::mutex send_mutex;
-    std::atomic<std::uint64_t> bytes_sent{0};
     std::array<char, largest_datagram> buffer{};
     asio::ip::udp::endpoint from;
 
@@ -71,7 +70,6 @@
         return;
     const std::lock_guard lock(impl_->send_mutex);
     impl_->socket.send_to(asio::buffer(datagram), {host, where.port}, 0, error);
-    impl_->bytes_sent += datagram.size();
 }
 
 void datagram_socket::run(const receiver& on_datagram) {
@@ -85,8 +83,4 @@
     impl_->context.stop();
 }
 
-std::uint64_t datagram_socket::bytes_sent() const noexcept {
-    return impl_->bytes_sent;
-}
-
 } // namespace mintknot::cluster
--- a/libs/mintknotd/cluster/tests/test_datagram_socket.cpp
+++ b/libs/mintknotd/cluster/tests/test_datagram_socket.cpp
@@ -25,7 +25,6 @@
     receiver.stop();
     thread.join();
     cr_assert(got == "hello");
-    cr_assert_eq(sender.bytes_sent(), 5U);
 }
 
 Test(datagram_socket, a_taken_port_is_reported) {
--- a/libs/mintknotd/engine/include/mintknot/engine/engine_client.hpp
+++ b/libs/mintknotd/engine/include/mintknot/engine/engine_client.hpp
@@ -51,9 +51,6 @@
     cancel(const base::address& where, const std::string& attempt) = 0;
 
     virtual absl::StatusOr<load_report> report(const base::address& where) = 0;
-
-    virtual absl::StatusOr<cache_events>
-    events_since(const base::address& where, std::uint64_t sequence) = 0;
 };
 
 } // namespace mintknot::engine
--- a/libs/mintknotd/engine/include/mintknot/engine/http_engine.hpp
+++ b/libs/mintknotd/engine/include/mintknot/engine/http_engine.hpp
@@ -28,8 +28,6 @@
     absl::Status
     cancel(const base::address& where, const std::string& attempt) override;
     absl::StatusOr<load_report> report(const base::address& where) override;
-    absl::StatusOr<cache_events>
-    events_since(const base::address& where, std::uint64_t sequence) override;
 
 private:
     base::outcome<decode_event> read_stream(
--- a/libs/mintknotd/engine/include/mintknot/engine/orders.hpp
+++ b/libs/mintknotd/engine/include/mintknot/engine/orders.hpp
@@ -79,22 +79,6 @@
     std::vector<held_stream> streams;
 };
 
-/// A change of an engine's prefix cache; events come late and with gaps.
-struct cache_event {
-    std::uint64_t sequence = 0;
-    bool stored = true; ///< false: evicted.
-    std::uint64_t hash = 0;
-    std::uint32_t blocks = 0;
-};
-
-/// Events after a sequence number. `complete` is false if some are missing.
-struct cache_events {
-    std::uint64_t incarnation = 0;
-    std::uint64_t next_sequence = 0;
-    bool complete = true;
-    std::vector<cache_event> events;
-};
-
 } // namespace mintknot::engine
 
 #endif
--- a/libs/mintknotd/engine/src/http_engine.cpp
+++ b/libs/mintknotd/engine/src/http_engine.cpp
@@ -227,25 +227,4 @@
     return report;
 }
 
-absl::StatusOr<cache_events>
-http_engine::events_since(const base::address& where, std::uint64_t sequence) {
-    auto document =
-        get_json(where, fmt::format("/v1/cache_events?since={}", sequence));
-    if (!document.ok())
-        return document.status();
-    cache_events result;
-    result.incarnation =
-        base::field_or(*document, "incarnation", std::uint64_t{0});
-    result.next_sequence = base::field_or(*document, "next", sequence);
-    result.complete = base::field_or(*document, "complete", true);
-    for (const auto& item :
-         base::field_or(*document, "events", nlohmann::json::array()))
-        result.events.push_back(
-            {base::field_or(item, "sequence", std::uint64_t{0}),
-             base::field_or(item, "stored", true),
-             base::field_or(item, "hash", std::uint64_t{0}),
-             base::field_or(item, "blocks", std::uint32_t{0})});
-    return result;
-}
-
 } // namespace mintknot::engine
--- a/libs/mintknotd/entry/tests/scripted_engines.hpp
+++ b/libs/mintknotd/entry/tests/scripted_engines.hpp
@@ -90,10 +90,6 @@
     absl::StatusOr<engine::load_report> report(const base::address&) override {
         return engine::load_report{};
     }
-    absl::StatusOr<engine::cache_events>
-    events_since(const base::address&, std::uint64_t) override {
-        return engine::cache_events{};
-    }
 
     std::vector<std::string> confirmed_cancels() {
         const std::lock_guard lock(mutex);
--- a/libs/mintknotd/table_service/include/mintknot/table_service/http_platform.hpp
+++ b/libs/mintknotd/table_service/include/mintknot/table_service/http_platform.hpp
@@ -21,10 +21,6 @@
     absl::StatusOr<std::vector<table_row>> scan(
         const std::string& prefix, const std::string& after,
         std::size_t limit) override;
-    absl::Status
-    put_object(const std::string& name, const std::string& bytes) override;
-    absl::StatusOr<std::string> get_object(const std::string& name) override;
-    absl::StatusOr<std::vector<listed_instance>> list_instances() override;
 
 private:
     net::http_response
--- a/libs/mintknotd/table_service/include/mintknot/table_service/platform_client.hpp
+++ b/libs/mintknotd/table_service/include/mintknot/table_service/platform_client.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The interface to the operators' platform: tables, objects, instances.
+/// The interface to the operators' platform: its table service.
 #ifndef MINTKNOT_PLATFORM_PLATFORM_CLIENT_HPP
 #define MINTKNOT_PLATFORM_PLATFORM_CLIENT_HPP
 
@@ -12,13 +12,6 @@
 
 namespace mintknot::platform {
 
-/// An entry of the platform's own list of instances; the list lags.
-struct listed_instance {
-    std::string name;
-    std::string data_centre;
-    bool leaving = false;
-};
-
 /// What mintknot needs of the platform. Implementations are thin adapters, so
 /// that a platform with another dialect costs one class. Calls block; safe
 /// from every thread. Unavailable means that the platform is out of reach.
@@ -39,14 +32,6 @@
     virtual absl::StatusOr<std::vector<table_row>> scan(
         const std::string& prefix, const std::string& after,
         std::size_t limit) = 0;
-
-    virtual absl::Status
-    put_object(const std::string& name, const std::string& bytes) = 0;
-
-    /// @return NotFound if there is no such object.
-    virtual absl::StatusOr<std::string> get_object(const std::string& name) = 0;
-
-    virtual absl::StatusOr<std::vector<listed_instance>> list_instances() = 0;
 };
 
 /// Reads all rows with a prefix, page by page.
--- a/libs/mintknotd/table_service/src/http_platform.cpp
+++ b/libs/mintknotd/table_service/src/http_platform.cpp
@@ -133,35 +133,6 @@
         base::field_or(*document, "rows", nlohmann::json::array()));
 }
 
-absl::Status
-http_platform::put_object(const std::string& name, const std::string& bytes) {
-    const auto answer = call("PUT", "/v1/objects/" + name, bytes);
-    return answer.ok() ? absl::OkStatus() : failure(answer);
-}
-
-absl::StatusOr<std::string> http_platform::get_object(const std::string& name) {
-    const auto answer = call("GET", "/v1/objects/" + name, {});
-    if (answer.status == 404)
-        return absl::NotFoundError("platform: no such object");
-    if (!answer.ok())
-        return failure(answer);
-    return answer.body;
-}
-
-absl::StatusOr<std::vector<listed_instance>> http_platform::list_instances() {
-    auto document = get_json("/v1/instances");
-    if (!document.ok())
-        return document.status();
-    std::vector<listed_instance> result;
-    for (const auto& item :
-         base::field_or(*document, "instances", nlohmann::json::array()))
-        result.push_back(
-            {base::field_or(item, "name", std::string()),
-             base::field_or(item, "data_centre", std::string()),
-             base::field_or(item, "leaving", false)});
-    return result;
-}
-
 absl::StatusOr<std::vector<table_row>>
 scan_all(platform_client& platform, const std::string& prefix) {
     std::vector<table_row> all;
--- a/testing/standins/include/mintknot/standins/engine_model.hpp
+++ b/testing/standins/include/mintknot/standins/engine_model.hpp
@@ -25,9 +25,6 @@
     std::uint64_t most_queued_prefill = 400000; ///< Tokens; more is rejected.
     base::milliseconds result_kept{4000};
     base::milliseconds report_lag{200};
-    base::milliseconds event_delay{300};
-    std::uint64_t lose_event_every = 0; ///< 0: no gaps.
-    bool check_fences = true;
 };
 
 /// Ground truth that only the engine knows. All in tokens.
@@ -50,22 +47,6 @@
     std::string error;
 };
 
-/// A model, adapter or role order with its fence.
-struct fenced_order {
-    std::uint64_t epoch = 0;
-    std::string type;  ///< "model", "adapter" or "role".
-    std::string value; ///< The wanted state.
-};
-
-/// What orders have made of the engine.
-struct engine_assignment {
-    std::uint64_t highest_epoch = 0;
-    std::string model;
-    std::string adapter;
-    std::string role;
-    std::uint64_t stale_orders_taken = 0; ///< Only without fence checks.
-};
-
 /// Batches continuously: a prefill queue by priority, a decode batch with a
 /// common step, KV memory in tokens, results that expire, streams that outlive
 /// their readers. Thread: all functions may be called from any thread.
@@ -110,13 +91,8 @@
 
     /// @return the report as it was up to the configured lag ago.
     engine::load_report report() const;
-    engine::cache_events cache_events_since(std::uint64_t sequence) const;
     engine_truth truth() const;
 
-    /// @return a text that says why the order was refused, or empty.
-    std::string take_order(const fenced_order& order);
-    engine_assignment assignment() const;
-
 private:
     struct impl;
     std::unique_ptr<impl> impl_;
--- a/testing/standins/include/mintknot/standins/fake_platform.hpp
+++ b/testing/standins/include/mintknot/standins/fake_platform.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The stand-in platform: tables, objects, instance list, weight store.
+/// The stand-in platform: the table service.
 #ifndef MINTKNOT_STANDINS_FAKE_PLATFORM_HPP
 #define MINTKNOT_STANDINS_FAKE_PLATFORM_HPP
 
@@ -16,8 +16,6 @@
 struct platform_options {
     std::uint64_t writes_per_second = 500; ///< Commits; more get 429.
     std::uint64_t reads_per_second = 2000;
-    base::milliseconds instance_list_lag{1000};
-    double weight_bytes_per_second = 50e6;
 };
 
 /// Faults that the control call `POST /control` sets.
--- a/testing/standins/src/engine_model.cpp
+++ b/testing/standins/src/engine_model.cpp
@@ -258,14 +258,6 @@
     return impl_->shown_report;
 }
 
-engine::cache_events
-engine_model::cache_events_since(std::uint64_t sequence) const {
-    const std::lock_guard lock(impl_->mutex);
-    auto events = impl_->cache.since(sequence);
-    events.incarnation = impl_->incarnation;
-    return events;
-}
-
 engine_truth engine_model::truth() const {
     const std::lock_guard lock(impl_->mutex);
     engine_truth truth = impl_->counters;
@@ -276,29 +268,4 @@
     return truth;
 }
 
-std::string engine_model::take_order(const fenced_order& order) {
-    const std::lock_guard lock(impl_->mutex);
-    engine_assignment& assigned = impl_->assigned;
-    const bool stale = order.epoch < assigned.highest_epoch;
-    if (stale && impl_->options.check_fences)
-        return "the epoch is stale";
-    if (stale)
-        ++assigned.stale_orders_taken;
-    assigned.highest_epoch = std::max(assigned.highest_epoch, order.epoch);
-    if (order.type == "model")
-        assigned.model = order.value;
-    else if (order.type == "adapter")
-        assigned.adapter = order.value;
-    else if (order.type == "role")
-        assigned.role = order.value;
-    else
-        return "unknown type of order";
-    return {};
-}
-
-engine_assignment engine_model::assignment() const {
-    const std::lock_guard lock(impl_->mutex);
-    return impl_->assigned;
-}
-
 } // namespace mintknot::standins
--- a/testing/standins/src/engine_state.hpp
+++ b/testing/standins/src/engine_state.hpp
@@ -68,9 +68,7 @@
 struct engine_model::impl {
     explicit impl(const engine_options& chosen)
         : options(chosen)
-        , cache(
-              chosen.prefix_cache_tokens / base::block_tokens,
-              chosen.event_delay, chosen.lose_event_every) {}
+        , cache(chosen.prefix_cache_tokens / base::block_tokens) {}
 
     const engine_options options;
     const std::uint64_t incarnation =
@@ -90,7 +88,6 @@
     std::map<std::string, std::shared_ptr<stream>> streams;   ///< By attempt.
     prefix_cache cache;
     engine_truth counters;
-    engine_assignment assigned;
     engine::load_report shown_report;
     steady_time report_time;
 
--- a/testing/standins/src/fake_engine.cpp
+++ b/testing/standins/src/fake_engine.cpp
@@ -76,8 +76,6 @@
     void export_kv(const httplib::Request&, httplib::Response&);
     void report(httplib::Response&) const;
     void truth(httplib::Response&) const;
-    void cache_events(const httplib::Request&, httplib::Response&) const;
-    void take_order(const httplib::Request&, httplib::Response&);
     void send_stream(
         httplib::Response&, const std::string& attempt, std::uint64_t offset);
     void import_kv(const engine::decode_order& order);
@@ -225,41 +223,6 @@
          {"attempts", truth.attempts}});
 }
 
-void fake_engine::impl::cache_events(
-    const httplib::Request& request, httplib::Response& response) const {
-    std::uint64_t since = 0;
-    const std::string text = request.get_param_value("since");
-    if (!text.empty() &&
-        text.find_first_not_of("0123456789") == std::string::npos)
-        since = std::stoull(text);
-    const auto result = model.cache_events_since(since);
-    json events = json::array();
-    for (const auto& event : result.events)
-        events.push_back(
-            {{"sequence", event.sequence},
-             {"stored", event.stored},
-             {"hash", event.hash},
-             {"blocks", event.blocks}});
-    answer(
-        response, 200,
-        {{"incarnation", result.incarnation},
-         {"next", result.next_sequence},
-         {"complete", result.complete},
-         {"events", events}});
-}
-
-void fake_engine::impl::take_order(
-    const httplib::Request& request, httplib::Response& response) {
-    const json body = json::parse(request.body, nullptr, false);
-    const std::string error = model.take_order(
-        {field_or(body, "epoch", std::uint64_t{0}),
-         field_or(body, "type", std::string()),
-         field_or(body, "value", std::string())});
-    if (!error.empty())
-        return refuse(response, 409, error);
-    answer(response, 200, json::object());
-}
-
 void fake_engine::impl::add_routes() {
     httplib::Server& routes = server.routes();
     using request = httplib::Request;
@@ -292,25 +255,9 @@
     });
     routes.Get(
         "/v1/report", [this](const request&, response& out) { report(out); });
-    routes.Get("/v1/cache_events", [this](const request& in, response& out) {
-        cache_events(in, out);
-    });
     routes.Get("/v1/ground_truth", [this](const request&, response& out) {
         truth(out);
     });
-    routes.Post("/v1/orders", [this](const request& in, response& out) {
-        take_order(in, out);
-    });
-    routes.Get("/v1/state", [this](const request&, response& out) {
-        const auto state = model.assignment();
-        answer(
-            out, 200,
-            {{"highest_epoch", state.highest_epoch},
-             {"model", state.model},
-             {"adapter", state.adapter},
-             {"role", state.role},
-             {"stale_orders_taken", state.stale_orders_taken}});
-    });
     routes.Post("/v1/leave", [this](const request&, response& out) {
         model.set_leaving(true);
         answer(out, 200, json::object());
--- a/testing/standins/src/fake_engine_main.cpp
+++ b/testing/standins/src/fake_engine_main.cpp
@@ -47,11 +47,6 @@
     TCLAP::ValueArg<std::int64_t> lag(
         "", "report-lag-ms", "age of load reports", false,
         defaults.report_lag.count(), "ms", line);
-    TCLAP::ValueArg<std::uint64_t> lose(
-        "", "lose-event-every", "lose every n-th cache event", false,
-        defaults.lose_event_every, "n", line);
-    TCLAP::SwitchArg unchecked(
-        "", "no-fences", "take orders with stale epochs", line);
     line.parse(argc, argv);
 
     command_line result{host, static_cast<std::uint16_t>(port.getValue()), {}};
@@ -63,8 +58,6 @@
     result.options.link_tokens_per_second = link;
     result.options.result_kept = base::milliseconds{kept.getValue()};
     result.options.report_lag = base::milliseconds{lag.getValue()};
-    result.options.lose_event_every = lose;
-    result.options.check_fences = !unchecked.getValue();
     return result;
 }
 
--- a/testing/standins/src/fake_platform.cpp
+++ b/testing/standins/src/fake_platform.cpp
@@ -6,7 +6,6 @@
 
 #include <httplib.h>
 
-#include <deque>
 #include <thread>
 
 namespace mintknot::standins {
@@ -19,8 +18,6 @@
 
 constexpr std::size_t most_connections = 256;
 constexpr std::size_t default_page = 1000;
-/// Bytes of weights that are sent in one piece.
-constexpr std::size_t weight_piece = 64U * 1024;
 
 void answer(httplib::Response& response, int status, const json& body) {
     response.status = status;
@@ -51,11 +48,6 @@
     base::steady_time window_start_;
 };
 
-struct instance_version {
-    base::steady_time since;
-    json instances = json::array();
-};
-
 } // namespace
 
 struct fake_platform::impl {
@@ -71,8 +63,6 @@
     rate_limit writes;
     rate_limit reads;
     platform_faults faults;
-    std::map<std::string, std::string> objects;
-    std::deque<instance_version> instance_versions;
     net::http_server server;
 
     void add_routes();
@@ -80,8 +70,6 @@
     bool admit(rate_limit& limit, httplib::Response& response);
     bool take_lost_answer();
     void commit(const httplib::Request&, httplib::Response&);
-    json shown_instances();
-    void send_weights(const httplib::Request&, httplib::Response&) const;
 };
 
 /// Applies outage, delay and rate limit to a call.
@@ -136,35 +124,6 @@
     answer(response, 200, json::object());
 }
 
-json fake_platform::impl::shown_instances() {
-    const std::lock_guard lock(mutex);
-    const auto until = steady_clock::now() - options.instance_list_lag;
-    while (instance_versions.size() > 1 && instance_versions[1].since <= until)
-        instance_versions.pop_front();
-    if (instance_versions.empty() || instance_versions.front().since > until)
-        return json::array();
-    return instance_versions.front().instances;
-}
-
-/// Sends the asked number of bytes at the configured rate.
-void fake_platform::impl::send_weights(
-    const httplib::Request& request, httplib::Response& response) const {
-    const std::string text = request.get_param_value("bytes");
-    const bool number =
-        !text.empty() && text.size() < 12 &&
-        text.find_first_not_of("0123456789") == std::string::npos;
-    const std::size_t total = number ? std::stoull(text) : weight_piece;
-    const double rate = options.weight_bytes_per_second;
-    response.set_content_provider(
-        total, "application/octet-stream",
-        [rate](std::size_t, std::size_t left, httplib::DataSink& sink) {
-            const std::string part(std::min(left, weight_piece), 'w');
-            std::this_thread::sleep_for(std::chrono::duration<double>(
-                static_cast<double>(part.size()) / rate));
-            return sink.write(part.data(), part.size());
-        });
-}
-
 void fake_platform::impl::add_routes() {
     httplib::Server& routes = server.routes();
     using request = httplib::Request;
@@ -188,42 +147,12 @@
             number ? std::stoull(limit) : default_page);
         answer(out, 200, {{"rows", rows}});
     });
-    routes.Put("/v1/objects/(.+)", [this](const request& in, response& out) {
-        if (!admit(writes, out))
-            return;
-        const std::lock_guard lock(mutex);
-        objects[in.matches[1]] = in.body;
-        out.status = 200;
-    });
-    routes.Get("/v1/objects/(.+)", [this](const request& in, response& out) {
-        if (!admit(reads, out))
-            return;
-        const std::lock_guard lock(mutex);
-        const auto position = objects.find(in.matches[1]);
-        if (position == objects.end())
-            return answer(out, 404, {{"error", "no such object"}});
-        out.set_content(position->second, "application/octet-stream");
-    });
-    routes.Get("/v1/weights/(.+)", [this](const request& in, response& out) {
-        send_weights(in, out);
-    });
-    routes.Get("/v1/instances", [this](const request&, response& out) {
-        if (admit(reads, out))
-            answer(out, 200, {{"instances", shown_instances()}});
-    });
 }
 
 void fake_platform::impl::add_control_routes() {
     httplib::Server& routes = server.routes();
     using request = httplib::Request;
     using response = httplib::Response;
-    routes.Put("/control/instances", [this](const request& in, response& out) {
-        const json body = json::parse(in.body, nullptr, false);
-        const std::lock_guard lock(mutex);
-        instance_versions.push_back(
-            {steady_clock::now(), field_or(body, "instances", json::array())});
-        out.status = 200;
-    });
     routes.Post("/control/faults", [this](const request& in, response& out) {
         const json body = json::parse(in.body, nullptr, false);
         const std::lock_guard lock(mutex);
--- a/testing/standins/src/fake_platform_main.cpp
+++ b/testing/standins/src/fake_platform_main.cpp
@@ -22,15 +22,11 @@
     TCLAP::ValueArg<std::uint64_t> reads(
         "", "reads-per-second", "reads allowed in a second", false,
         defaults.reads_per_second, "number", line);
-    TCLAP::ValueArg<std::int64_t> lag(
-        "", "list-lag-ms", "lag of the instance list", false,
-        defaults.instance_list_lag.count(), "ms", line);
     line.parse(argc, argv);
 
     standins::platform_options options;
     options.writes_per_second = writes;
     options.reads_per_second = reads;
-    options.instance_list_lag = base::milliseconds{lag.getValue()};
     standins::fake_platform platform(options);
     const auto bound =
         platform.start({host, static_cast<std::uint16_t>(port.getValue())});
--- a/testing/standins/tests/test_fake_engine.cpp
+++ b/testing/standins/tests/test_fake_engine.cpp
@@ -100,16 +100,3 @@
     cr_assert(!end);
     cr_assert(end.error().run == base::verdict::not_run);
 }
-
-Test(fake_engine, checks_fences_unless_told_not_to) {
-    standins::engine_model checking({});
-    cr_assert(checking.take_order({7, "role", "decode"}).empty());
-    cr_assert(!checking.take_order({6, "role", "prefill"}).empty());
-    cr_assert(checking.assignment().role == "decode");
-    standins::engine_options options;
-    options.check_fences = false;
-    standins::engine_model careless(options);
-    careless.take_order({7, "role", "decode"});
-    careless.take_order({6, "role", "prefill"});
-    cr_assert_eq(careless.assignment().stale_orders_taken, 1U);
-}
