--- a/libs/mintknotd-platform/event/src/connection.cpp
+++ b/libs/mintknotd-platform/event/src/connection.cpp
@@ -125,24 +125,27 @@
         write_next();
 }
 
-void connection::write_next() {
+boost::system::error_code connection::impl::write_ready_bytes() {
     boost::system::error_code code;
-    while (!impl_->queue.empty()) {
-        const std::string& front = impl_->queue.front();
-        const std::size_t count = impl_->socket.write_some(
-            asio::buffer(
-                front.data() + impl_->front_sent,
-                front.size() - impl_->front_sent),
+    while (!queue.empty()) {
+        const std::string& front = queue.front();
+        const std::size_t count = socket.write_some(
+            asio::buffer(front.data() + front_sent, front.size() - front_sent),
             code);
         if (code)
             break;
-        impl_->front_sent += count;
-        impl_->queued -= count;
-        if (impl_->front_sent < front.size())
+        front_sent += count;
+        queued -= count;
+        if (front_sent < front.size())
             continue;
-        impl_->queue.pop_front();
-        impl_->front_sent = 0;
+        queue.pop_front();
+        front_sent = 0;
     }
+    return code;
+}
+
+void connection::write_next() {
+    const boost::system::error_code code = impl_->write_ready_bytes();
     if (code && code != asio::error::would_block) {
         // The pending read reports the end of the connection.
         impl_->queue.clear();
--- a/libs/mintknotd-platform/event/src/connection_impl.hpp
+++ b/libs/mintknotd-platform/event/src/connection_impl.hpp
@@ -17,6 +17,9 @@
         , socket(std::move(connected))
         , linger_timer(owner_loop) {}
 
+    /// Writes what the socket takes now. @return why it stopped, or success.
+    boost::system::error_code write_ready_bytes();
+
     loop& owner;
     boost::asio::ip::tcp::socket socket;
     connection_handlers handlers;
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/placement.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/placement.hpp
@@ -50,6 +50,13 @@
 /// @return the servers for a request. Pure: no load is added.
 placement choose(const selection_inputs& inputs, const placement_query& query);
 
+/// Rules out what this instance avoids, for a query that goes to a scheduler:
+/// the way from here to a server may be broken where the scheduler's is not. If
+/// it is most of them, or dozens, the fault is here, and nothing is ruled out.
+void exclude_avoided(
+    placement_query& query, const traffic::server_table& servers,
+    const health_view& health, base::steady_time now);
+
 /// @return the load of a placed request, as it is until its prompt is read.
 traffic::load_map
 placed_loads(const placement& placed, const placement_query& query);
--- a/libs/mintknotd-platform/policy/src/placement.cpp
+++ b/libs/mintknotd-platform/policy/src/placement.cpp
@@ -31,6 +31,9 @@
     return result;
 }
 
+/// Servers that a query rules out at most; bounds the datagram. Not measured.
+constexpr std::size_t max_avoided = 32;
+
 } // namespace
 
 placement choose(const selection_inputs& inputs, const placement_query& query) {
@@ -62,6 +65,20 @@
     return result;
 }
 
+void exclude_avoided(
+    placement_query& query, const traffic::server_table& servers,
+    const health_view& health, base::steady_time now) {
+    const auto& open = traffic::open_servers(servers, query.service);
+    excluded_servers found;
+    for (const traffic::server* server : open)
+        if (avoided(health, server->id, now))
+            found.insert(server->id);
+    if (found.size() > max_avoided || found.size() * 2 > open.size())
+        return;
+    query.excluded_prefill.insert(found.begin(), found.end());
+    query.excluded.insert(found.begin(), found.end());
+}
+
 traffic::load_map
 placed_loads(const placement& placed, const placement_query& query) {
     traffic::load_map loads;
--- a/libs/mintknotd-platform/relay/src/caller_session.cpp
+++ b/libs/mintknotd-platform/relay/src/caller_session.cpp
@@ -1,17 +1,18 @@
+/// @file
+/// The part of a caller's connection that reads requests.
+
 #include "caller_session.hpp"
 
 #include <mintknot/http1/serialize.hpp>
-#include <mintknot/policy/drain.hpp>
 
 namespace mintknot::relay {
 
 namespace {
 
-/// Bytes behind the request at hand that are kept; more wait in the system.
+/// Bytes behind the request at hand that are kept; more wait in the system. Not
+/// measured.
 constexpr std::size_t max_pending_bytes = 64 * 1024;
-/// Unsent bytes of an answer above which its server is no longer read.
-constexpr std::size_t congested_bytes = 128 * 1024;
-/// How long a body may take beyond the time for its head.
+/// How long a body may take beyond the time for its head. Not measured.
 constexpr base::milliseconds body_time{20000};
 
 } // namespace
@@ -175,121 +176,54 @@
     request.head = std::move(parser_->head());
     request.terms = context_.protocol.read_request(request.head);
     request.arrived = began_;
-    const std::string id = request.terms.id;
-    const auto answer = [&](int status, std::string_view reason,
-                            std::optional<base::milliseconds> retry_after) {
-        context_.log.write(
-            "refused", {{"request", id},
-                        {"reason", reason},
-                        {"status", std::int64_t{status}},
-                        {"target", request.head.target}});
-        context_.metrics.count_request({"", std::string(reason), {}, {}});
-        link_->write(refusal_text(
-            context_, status, id, reason, retry_after, keep_alive()));
-        answer_done();
-    };
     const auto config = context_.state.config;
-    if (config == nullptr) {
-        answer(503, "no_configuration", policy::return_to_door);
-        return;
-    }
     const std::string* host = http1::find_field(request.head.fields, "Host");
-    const traffic::route* route = traffic::find_route(
-        *config, host == nullptr ? std::string_view{} : *host,
-        request.head.target);
-    if (route == nullptr) {
-        answer(404, "no_route", std::nullopt);
-        return;
-    }
-    if (context_.state.stopping &&
-        !policy::may_begin(*route, since_stop(), context_.state.grace)) {
-        answer(503, "stopping", policy::return_to_door);
-        return;
-    }
-    if (context_.state.open_body_bytes > context_.options.max_body_bytes) {
-        answer(503, "memory_full", policy::return_to_door);
-        return;
-    }
-    const auto service =
-        config->services.find(traffic::choose_service(*route, context_.draw()));
-    if (service == config->services.end()) {
-        answer(503, "unknown_service", policy::return_to_door);
+    const policy::entry_decision decision = policy::check_entry(
+        entry_conditions(config.get()),
+        host == nullptr ? std::string_view{} : *host, request.head.target,
+        context_.draw());
+    if (decision.service == nullptr) {
+        refuse_whole(request, decision);
         return;
     }
     if (!body_.empty())
         request.body = std::make_shared<const std::string>(std::move(body_));
     body_.clear();
     exchange_ = make_exchange(
-        context_, *this, std::move(request), config, *route, service->second);
+        context_, *this, std::move(request), config, *decision.route,
+        *decision.service);
     exchange_->start();
 }
 
-base::milliseconds caller_session::since_stop() const {
-    return std::chrono::duration_cast<base::milliseconds>(
+policy::entry_conditions
+caller_session::entry_conditions(const traffic::configuration* config) const {
+    policy::entry_conditions conditions;
+    conditions.config = config;
+    conditions.stopping = context_.state.stopping;
+    conditions.since_stop = std::chrono::duration_cast<base::milliseconds>(
         context_.loop.now() - context_.state.stop_began);
+    conditions.grace = context_.state.grace;
+    conditions.open_body_bytes = context_.state.open_body_bytes;
+    conditions.max_body_bytes = context_.options.max_body_bytes;
+    return conditions;
 }
 
-bool caller_session::keep_alive() const {
-    return request_keep_alive_ && !context_.state.stopping;
-}
-
-void caller_session::whole(http1::response_head head, std::string body) {
-    const bool until_close = head.body == http1::framing::close;
-    head.length = body.size();
-    head.keep_alive = keep_alive() && !until_close;
-    request_keep_alive_ = head.keep_alive;
-    head.body = until_close ? http1::framing::close : http1::framing::length;
-    link_->write(http1::serialize(head));
-    link_->write(std::move(body));
-    answer_done();
-}
-
-void caller_session::begin(http1::response_head head) {
-    const bool until_close =
-        head.body == http1::framing::close || minor_version_ == 0;
-    if (until_close)
-        head.body = http1::framing::close;
-    else if (head.body != http1::framing::length)
-        head.body = http1::framing::chunked;
-    framing_ = head.body;
-    head.keep_alive = keep_alive() && !until_close;
-    request_keep_alive_ = head.keep_alive;
-    link_->write(http1::serialize(head));
-}
-
-void caller_session::data(std::string_view bytes) {
-    if (bytes.empty())
-        return;
-    link_->write(
-        framing_ == http1::framing::chunked ? http1::chunk(bytes)
-                                            : std::string(bytes));
-}
-
-void caller_session::end() {
-    if (framing_ == http1::framing::chunked)
-        link_->write(std::string(http1::last_chunk));
+void caller_session::refuse_whole(
+    const caller_request& request, const policy::entry_decision& decision) {
+    context_.log.write(
+        "refused", {{"request", request.terms.id},
+                    {"reason", decision.reason},
+                    {"status", std::int64_t{decision.status}},
+                    {"target", request.head.target}});
+    context_.metrics.count_request({"", std::string(decision.reason), {}, {}});
+    link_->write(refusal_text(
+        context_, decision.status, request.terms.id, decision.reason,
+        decision.retry_after, keep_alive()));
     answer_done();
 }
 
-void caller_session::break_off() {
-    if (closed_)
-        return;
-    closed_ = true;
-    timer_.stop();
-    // Where only the end of the connection would end the body, it must not
-    // look orderly.
-    if (framing_ == http1::framing::close)
-        link_->reset();
-    else
-        link_->close();
-    context_.loop.post([self = shared_from_this()] {
-        self->exchange_.reset();
-        self->on_end_(self.get());
-    });
-}
-
-bool caller_session::congested() const {
-    return link_->queued_bytes() > congested_bytes;
+bool caller_session::keep_alive() const {
+    return request_keep_alive_ && !context_.state.stopping;
 }
 
 void caller_session::answer_done() {
--- a/libs/mintknotd-platform/relay/src/caller_session.hpp
+++ b/libs/mintknotd-platform/relay/src/caller_session.hpp
@@ -5,6 +5,7 @@
 
 #include <mintknot/event/connection.hpp>
 #include <mintknot/http1/message_parser.hpp>
+#include <mintknot/policy/entry_check.hpp>
 #include <mintknot/relay/exchange.hpp>
 
 #include <functional>
@@ -57,7 +58,12 @@
     void arm_idle_timer();
     void arm_request_timer();
     bool keep_alive() const;
-    base::milliseconds since_stop() const;
+    policy::entry_conditions
+    entry_conditions(const traffic::configuration* config) const;
+    /// Answers a request that has been read whole without an exchange; the
+    /// connection stays open.
+    void refuse_whole(
+        const caller_request& request, const policy::entry_decision& decision);
     traffic::caller_limits limits() const;
 
     router_context& context_;
--- /dev/null
+++ b/libs/mintknotd-platform/relay/src/caller_session_answer.cpp
@@ -0,0 +1,77 @@
+/// @file
+/// The part of a caller's connection that writes answers.
+
+#include "caller_session.hpp"
+
+#include <mintknot/http1/serialize.hpp>
+
+namespace mintknot::relay {
+
+namespace {
+
+/// Unsent bytes of an answer above which its server is no longer read. Not
+/// measured.
+constexpr std::size_t congested_bytes = 128 * 1024;
+
+} // namespace
+
+void caller_session::whole(http1::response_head head, std::string body) {
+    const bool until_close = head.body == http1::framing::close;
+    head.length = body.size();
+    head.keep_alive = keep_alive() && !until_close;
+    request_keep_alive_ = head.keep_alive;
+    head.body = until_close ? http1::framing::close : http1::framing::length;
+    link_->write(http1::serialize(head));
+    link_->write(std::move(body));
+    answer_done();
+}
+
+void caller_session::begin(http1::response_head head) {
+    const bool until_close =
+        head.body == http1::framing::close || minor_version_ == 0;
+    if (until_close)
+        head.body = http1::framing::close;
+    else if (head.body != http1::framing::length)
+        head.body = http1::framing::chunked;
+    framing_ = head.body;
+    head.keep_alive = keep_alive() && !until_close;
+    request_keep_alive_ = head.keep_alive;
+    link_->write(http1::serialize(head));
+}
+
+void caller_session::data(std::string_view bytes) {
+    if (bytes.empty())
+        return;
+    link_->write(
+        framing_ == http1::framing::chunked ? http1::chunk(bytes)
+                                            : std::string(bytes));
+}
+
+void caller_session::end() {
+    if (framing_ == http1::framing::chunked)
+        link_->write(std::string(http1::last_chunk));
+    answer_done();
+}
+
+void caller_session::break_off() {
+    if (closed_)
+        return;
+    closed_ = true;
+    timer_.stop();
+    // Where only the end of the connection would end the body, it must not
+    // look orderly.
+    if (framing_ == http1::framing::close)
+        link_->reset();
+    else
+        link_->close();
+    context_.loop.post([self = shared_from_this()] {
+        self->exchange_.reset();
+        self->on_end_(self.get());
+    });
+}
+
+bool caller_session::congested() const {
+    return link_->queued_bytes() > congested_bytes;
+}
+
+} // namespace mintknot::relay
--- /dev/null
+++ b/libs/mintknotd-platform/runtime/src/instance_impl.hpp
@@ -0,0 +1,72 @@
+/// @file
+/// The parts of an instance and how they are tied together.
+#ifndef MINTKNOT_RUNTIME_INSTANCE_IMPL_HPP
+#define MINTKNOT_RUNTIME_INSTANCE_IMPL_HPP
+
+#include "document_sync.hpp"
+#include "settings_watch.hpp"
+
+#include <mintknot/orders/phase_balancer.hpp>
+#include <mintknot/peers/peer_group.hpp>
+#include <mintknot/relay/entry_server.hpp>
+#include <mintknot/relay/local_server.hpp>
+#include <mintknot/runtime/instance.hpp>
+#include <mintknot/scheduling/remote_placer.hpp>
+
+namespace mintknot::runtime {
+
+/// Members are in the order in which they depend on each other. What ties them
+/// is in instance_wiring.cpp, the life from start to stop in instance.cpp.
+struct instance::impl {
+    impl(instance_settings given, instance_ports outside);
+    document_handlers document_functions();
+    void on_server(
+        const std::string& id, std::uint64_t version,
+        std::optional<traffic::server> server);
+    scheduling::placer_ports placer_functions();
+    std::vector<std::string>
+    scheduler_hosts(const std::string& data_centre) const;
+    bool uses_schedulers() const;
+    orders::balancer_options balancer_options() const;
+    peers::group_handlers group_functions();
+    peers::heartbeat describe_here();
+    bool looks_after_phases() const;
+    void
+    on_heartbeat(const std::string& host, const peers::heartbeat& heartbeat);
+    std::vector<std::string> readers_here() const;
+    std::optional<relay::health_check> check_of(const std::string& id) const;
+
+    bool ready() const;
+    relay::local_answer readiness_answer() const;
+    relay::local_answer metrics_answer();
+    absl::Status open_addresses();
+    void on_signal(int number);
+    void take(const instance_settings& fresh, std::string_view cause);
+    void begin_drain();
+    void drain();
+    void leave(base::milliseconds since);
+
+    instance_settings settings;
+    instance_ports ports;
+    logging::line_log log;
+    relay::relay_metrics metrics;
+    upstream::connection_pool pool;
+    relay::release_queue releases;
+    relay::health_prober prober;
+    relay::router_context context;
+    relay::entry_server entry;
+    relay::local_server readiness;
+    relay::local_server metrics_server;
+    relay::local_server peer_server;
+    document_sync documents;
+    peers::peer_group group;
+    scheduling::remote_placer placer;
+    orders::phase_balancer balancer;
+    event::timer drain_timer;
+    settings_watch reloads;
+    bool has_been_large = false; ///< The group, at some time.
+};
+
+} // namespace mintknot::runtime
+
+#endif
--- /dev/null
+++ b/libs/mintknotd-platform/runtime/src/instance_wiring.cpp
@@ -0,0 +1,213 @@
+/// @file
+/// What the parts of an instance tell each other.
+
+#include "instance_impl.hpp"
+
+#include "heartbeat_content.hpp"
+
+#include <mintknot/base/random.hpp>
+#include <mintknot/policy/group.hpp>
+
+#include <fmt/format.h>
+
+#include <unistd.h>
+
+namespace mintknot::runtime {
+
+namespace {
+
+/// Pause between two questions to a scheduler for one request that waits: some
+/// times the way there and back. Not measured.
+constexpr base::milliseconds min_question_gap{60};
+
+} // namespace
+
+instance::impl::impl(instance_settings given, instance_ports outside)
+    : settings(std::move(given))
+    , ports(std::move(outside))
+    , log(STDOUT_FILENO, settings.name, {})
+    , pool(ports.loop)
+    , releases(pool, ports.protocol)
+    , prober(
+          ports.loop, pool, ports.protocol, log,
+          [this](const std::string& id) { return check_of(id); },
+          [this](const std::string& id, bool passed) {
+              policy::note_check(
+                  context.state.health, id, passed, ports.loop.now());
+          })
+    , context{ports.loop, pool,     ports.protocol, log,
+              metrics,    releases, prober,         settings.relay}
+    , entry(context)
+    , readiness(ports.loop, relay::at_once([this](const http1::request_head&) {
+                    return readiness_answer();
+                }))
+    , metrics_server(
+          ports.loop, relay::at_once([this](const http1::request_head&) {
+              return metrics_answer();
+          }))
+    , peer_server(
+          ports.loop,
+          [this](const http1::request_head& head, relay::local_reply reply) {
+              documents.answer(head, std::move(reply));
+          })
+    , documents(
+          {ports.loop, ports.store, ports.codec, pool, log,
+           [this] { return context.draw(); }},
+          {settings.peer, settings.data_centre, settings.drain_bound,
+           [this] { return readers_here(); }},
+          document_functions())
+    , group(
+          ports.loop, log,
+          {settings.peer, settings.data_centre, settings.seed_hosts},
+          group_functions())
+    , placer(context, placer_functions())
+    , balancer(
+          context, ports.store, balancer_options(),
+          [this] { return looks_after_phases(); })
+    , drain_timer(ports.loop)
+    , reloads(
+          ports.loop, log, ports.reload,
+          [this](const instance_settings& fresh) {
+              return fresh.retry_bounds != context.state.retry_bounds ||
+                     fresh.grace != settings.grace;
+          },
+          [this](const instance_settings& fresh, std::string_view cause) {
+              take(fresh, cause);
+          }) {
+    context.state.retry_bounds = settings.retry_bounds;
+    context.state.instances = policy::assumed_instances(1);
+    context.state.started = ports.loop.now();
+    context.placement = &placer;
+    context.state.on_order = [this] { group.changed(); };
+    context.state.on_load_change = [this] {
+        if (placer.active())
+            placer.loads_changed();
+        else
+            group.changed();
+    };
+}
+
+document_handlers instance::impl::document_functions() {
+    return {
+        [this](std::shared_ptr<const traffic::configuration> config) {
+            context.state.config = std::move(config);
+            group.changed();
+        },
+        [this](
+            const std::string& id, std::uint64_t version,
+            std::optional<traffic::server> server) {
+            on_server(id, version, std::move(server));
+        },
+        [this] { return traffic::count(context.state.servers); }};
+}
+
+void instance::impl::on_server(
+    const std::string& id, std::uint64_t version,
+    std::optional<traffic::server> server) {
+    const bool gone = !server;
+    const traffic::server* known = traffic::find(context.state.servers, id);
+    const bool changed =
+        known != nullptr && server.has_value() && known->phase != server->phase;
+    if (!traffic::apply(context.state.servers, id, version, std::move(server)))
+        return;
+    if (changed)
+        policy::end_change(context.state.health, id);
+    context.queue.room_freed();
+    if (gone) {
+        pool.drop(id);
+        policy::forget(context.state.health, id);
+        policy::forget(context.state.rates, id);
+    }
+    if (!placer.active())
+        group.changed();
+}
+
+scheduling::placer_ports instance::impl::placer_functions() {
+    return {
+        settings.peer.host,
+        [this](const std::string& host, const std::string& datagram) {
+            group.send(host, datagram);
+        },
+        [this](const std::string& data_centre) {
+            return scheduler_hosts(data_centre);
+        },
+        [this] { return uses_schedulers(); }};
+}
+
+std::vector<std::string>
+instance::impl::scheduler_hosts(const std::string& data_centre) const {
+    std::vector<std::string> hosts = peers::staying(group.table(), data_centre);
+    if (!context.state.stopping &&
+        (data_centre.empty() || data_centre == settings.data_centre))
+        hosts.push_back(settings.peer.host);
+    return hosts;
+}
+
+bool instance::impl::uses_schedulers() const {
+    return settings.always_schedule || peers::is_large(group.table());
+}
+
+orders::balancer_options instance::impl::balancer_options() const {
+    orders::balancer_options options;
+    options.holder = fmt::format("{}/{}", settings.name, base::random_token());
+    options.terms.length = settings.order_lease;
+    return options;
+}
+
+peers::group_handlers instance::impl::group_functions() {
+    return {
+        [this] { return describe_here(); },
+        [this](const std::string& host, const peers::heartbeat& heartbeat) {
+            on_heartbeat(host, heartbeat);
+        },
+        [this](const std::string& host, std::string_view datagram) {
+            placer.receive(host, datagram);
+        }};
+}
+
+peers::heartbeat instance::impl::describe_here() {
+    peers::heartbeat own = describe(context, !placer.active());
+    own.configuration = documents.version(state::collection::configuration);
+    own.servers = documents.version(state::collection::servers);
+    return own;
+}
+
+bool instance::impl::looks_after_phases() const {
+    return policy::looks_after_phases(
+        settings.peer.host, peers::staying(group.table(), {}));
+}
+
+void instance::impl::on_heartbeat(
+    const std::string& host, const peers::heartbeat& heartbeat) {
+    take_heartbeat(context, host, heartbeat);
+    context.state.instances =
+        policy::assumed_instances(peers::instances(group.table()));
+    if (!has_been_large && placer.active()) {
+        has_been_large = true;
+        documents.use_large_group_pace();
+        context.queue.slow_down(min_question_gap);
+    }
+    documents.on_heartbeat(host, heartbeat);
+}
+
+std::vector<std::string> instance::impl::readers_here() const {
+    if (!placer.active())
+        return {};
+    return policy::store_readers(scheduler_hosts(settings.data_centre));
+}
+
+std::optional<relay::health_check>
+instance::impl::check_of(const std::string& id) const {
+    const traffic::server* server = traffic::find(context.state.servers, id);
+    if (server == nullptr || context.state.config == nullptr)
+        return std::nullopt;
+    const auto service = context.state.config->services.find(server->service);
+    if (service == context.state.config->services.end())
+        return std::nullopt;
+    return relay::health_check{
+        {server->id, server->where},
+        service->second.health_path,
+        policy::avoided_until(context.state.health, id)};
+}
+
+} // namespace mintknot::runtime
--- a/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
@@ -1,21 +1,21 @@
 #include <mintknot/scheduling/remote_placer.hpp>
 
+#include "load_reporter.hpp"
+#include "scheduler_directory.hpp"
+
 #include <mintknot/policy/domain.hpp>
 #include <mintknot/scheduling/messages.hpp>
 
 #include <algorithm>
 #include <map>
-#include <set>
 
 namespace mintknot::scheduling {
 
 namespace {
 
-/// Schedulers of one domain that are asked before the choice is made here.
+/// Schedulers of one domain that are asked before the choice is made here: each
+/// silent one costs placer_options::patience. Not measured.
 constexpr int max_tries = 2;
-/// Servers that a question rules out because this instance avoids them.
-constexpr std::size_t max_avoided = 32;
-
 /// A request that waits for its servers.
 struct question {
     explicit question(event::loop& owner)
@@ -39,36 +39,11 @@
         : context(shared)
         , ports(std::move(outside))
         , options(settings)
-        , report_timer(shared.loop) {}
+        , directory(shared, ports, settings.suspicion)
+        , reporter(shared, ports, directory, settings) {}
 
     base::steady_time now() const { return context.loop.now(); }
 
-    /// @return the scheduler of a domain, passing over those that have not
-    /// answered lately; empty if there is none.
-    std::string scheduler(const policy::domain& which) const {
-        std::vector<std::string> hosts = ports.hosts(which.data_centre);
-        std::erase_if(hosts, [this](const std::string& host) {
-            const auto found = suspected.find(host);
-            return found != suspected.end() && found->second > now();
-        });
-        return policy::scheduler_of(which, hosts);
-    }
-
-    /// Rules out what this instance avoids: its way to a server may be broken
-    /// where the scheduler's is not. If it is most of them, the fault is here.
-    void exclude_avoided(policy::placement_query& query) const {
-        const auto& open =
-            traffic::open_servers(context.state.servers, query.service);
-        policy::excluded_servers avoided;
-        for (const traffic::server* server : open)
-            if (policy::avoided(context.state.health, server->id, now()))
-                avoided.insert(server->id);
-        if (avoided.size() > max_avoided || avoided.size() * 2 > open.size())
-            return;
-        query.excluded_prefill.insert(avoided.begin(), avoided.end());
-        query.excluded.insert(avoided.begin(), avoided.end());
-    }
-
     std::uint64_t
     begin(policy::placement_query query, relay::placement_handler then) {
         const std::uint64_t number = ++last_number;
@@ -78,7 +53,8 @@
         if (query.kind == policy::placement_kind::plain &&
             entry->left.size() > 1)
             query.kind = policy::placement_kind::plain_with_room;
-        exclude_avoided(query);
+        policy::exclude_avoided(
+            query, context.state.servers, context.state.health, now());
         query.data_centre = context.options.data_centre;
         entry->query = std::move(query);
         entry->then = std::move(then);
@@ -102,7 +78,7 @@
             finish(number, placed);
             return;
         }
-        const std::string host = scheduler(entry.left.front());
+        const std::string host = directory.find(entry.left.front());
         if (host.empty() || host == ports.own_host ||
             entry.tries >= max_tries) {
             const bool exact = host == ports.own_host;
@@ -115,7 +91,9 @@
             host, encode(placement_request{
                       number, entry.left.front().data_centre, entry.query}));
         entry.patience.start(options.patience, [this, number, host] {
-            suspect(host);
+            directory.suspect(host);
+            // What it had been told must be told to the next one.
+            reporter.loads_changed();
             ask_next(number);
         });
     }
@@ -145,18 +123,6 @@
         then(placed);
     }
 
-    void suspect(const std::string& host) {
-        std::erase_if(suspected, [this](const auto& item) {
-            return item.second <= now();
-        });
-        suspected[host] = now() + options.suspicion;
-        context.log.write(
-            "scheduler_silent",
-            {{"host", host}, {"for_ms", options.suspicion.count()}});
-        // What it had been told must be told to the next one.
-        loads_changed();
-    }
-
     /// No domain has room. Plain servers queue: one of them takes it still.
     policy::placement place_anywhere(const policy::placement_query& query) {
         if (query.kind != policy::placement_kind::plain_with_room)
@@ -205,9 +171,7 @@
     void on_message(const std::string& host, const placement_answer& answer) {
         const auto found = questions.find(answer.number);
         if (found == questions.end() || found->second->asked != host) {
-            // The scheduler counts a request that nobody sends.
-            reported.insert(host);
-            loads_changed();
+            reporter.correct(host);
             return;
         }
         found->second->patience.stop();
@@ -231,83 +195,13 @@
             policy::note_rate(context.state.rates, observed.id, observed.rate);
     }
 
-    void loads_changed() {
-        if (report_due <= now() + options.min_gap && report_timer.active())
-            return;
-        plan_report(std::max(now(), reported_at + options.min_gap));
-    }
-
-    void plan_report(base::steady_time when) {
-        report_due = when;
-        report_timer.start(when, [this] { send_reports(); });
-    }
-
-    void send_reports() {
-        reported_at = now();
-        std::map<std::string, load_report> reports;
-        for (const std::string& host : reported)
-            reports[host];
-        reported.clear();
-        const std::vector<policy::server_warning> avoided =
-            policy::own_warnings(context.state.health, now());
-        for (const auto& [id, load] : context.state.loads.own) {
-            const std::string host = scheduler_elsewhere(id);
-            if (host.empty())
-                continue;
-            reports[host].loads[id] = load;
-            reported.insert(host);
-        }
-        // The schedulers of servers that are avoided here are to know it, too.
-        for (const policy::server_warning& warning : avoided) {
-            const std::string host = scheduler_elsewhere(warning.server_id);
-            if (!host.empty())
-                reports[host];
-        }
-        add_observations(reports, avoided);
-        for (const auto& [host, report] : reports)
-            ports.send(host, encode(report));
-        if (!reported.empty())
-            plan_report(now() + options.max_gap);
-    }
-
-    /// @return the instance that schedules a server's domain; empty if it is
-    /// this one or there is none.
-    std::string scheduler_elsewhere(const std::string& server_id) const {
-        const traffic::server* server =
-            traffic::find(context.state.servers, server_id);
-        if (server == nullptr)
-            return {};
-        std::string host =
-            scheduler(policy::domain_of(context.state.servers, *server));
-        return host == ports.own_host ? std::string{} : host;
-    }
-
-    /// Adds what is avoided here and how fast engines were seen to read.
-    void add_observations(
-        std::map<std::string, load_report>& reports,
-        const std::vector<policy::server_warning>& avoided) {
-        if (reports.empty())
-            return;
-        std::vector<observed_rate> rates;
-        for (const std::string& id : context.state.rates.fresh)
-            rates.push_back({id, policy::rate_of(context.state.rates, id)});
-        context.state.rates.fresh.clear();
-        for (auto& [host, report] : reports) {
-            report.avoided = avoided;
-            report.rates = rates;
-        }
-    }
-
     relay::router_context& context;
     placer_ports ports;
     placer_options options;
     std::uint64_t last_number = 0;
     std::map<std::uint64_t, std::unique_ptr<question>> questions;
-    std::map<std::string, base::steady_time> suspected;
-    std::set<std::string> reported; ///< Hosts that know of loads from here.
-    base::steady_time reported_at{};
-    base::steady_time report_due{};
-    event::timer report_timer;
+    scheduler_directory directory;
+    load_reporter reporter;
     std::shared_ptr<bool> life = std::make_shared<bool>(true);
 };
 
@@ -348,7 +242,7 @@
 }
 
 void remote_placer::loads_changed() {
-    impl_->loads_changed();
+    impl_->reporter.loads_changed();
 }
 
 void remote_placer::receive(
--- /dev/null
+++ b/libs/mintknotd-platform/scheduling/src/scheduler_directory.cpp
@@ -0,0 +1,43 @@
+#include "scheduler_directory.hpp"
+
+#include <algorithm>
+
+namespace mintknot::scheduling {
+
+scheduler_directory::scheduler_directory(
+    relay::router_context& context, const placer_ports& ports,
+    base::milliseconds suspicion)
+    : context_(context)
+    , ports_(ports)
+    , suspicion_(suspicion) {}
+
+std::string scheduler_directory::find(const policy::domain& which) const {
+    const base::steady_time now = context_.loop.now();
+    std::vector<std::string> hosts = ports_.hosts(which.data_centre);
+    std::erase_if(hosts, [&](const std::string& host) {
+        const auto found = suspected_.find(host);
+        return found != suspected_.end() && found->second > now;
+    });
+    return policy::scheduler_of(which, hosts);
+}
+
+std::string
+scheduler_directory::find_elsewhere(const std::string& server_id) const {
+    const traffic::server* server =
+        traffic::find(context_.state.servers, server_id);
+    if (server == nullptr)
+        return {};
+    std::string host = find(policy::domain_of(context_.state.servers, *server));
+    return host == ports_.own_host ? std::string{} : host;
+}
+
+void scheduler_directory::suspect(const std::string& host) {
+    const base::steady_time now = context_.loop.now();
+    std::erase_if(
+        suspected_, [now](const auto& item) { return item.second <= now; });
+    suspected_[host] = now + suspicion_;
+    context_.log.write(
+        "scheduler_silent", {{"host", host}, {"for_ms", suspicion_.count()}});
+}
+
+} // namespace mintknot::scheduling
--- /dev/null
+++ b/libs/mintknotd-platform/scheduling/src/scheduler_directory.hpp
@@ -0,0 +1,40 @@
+/// @file
+/// Which instance schedules a domain, as this instance sees it.
+#ifndef MINTKNOT_SCHEDULING_SCHEDULER_DIRECTORY_HPP
+#define MINTKNOT_SCHEDULING_SCHEDULER_DIRECTORY_HPP
+
+#include <mintknot/policy/domain.hpp>
+#include <mintknot/relay/router_state.hpp>
+#include <mintknot/scheduling/remote_placer.hpp>
+
+#include <map>
+#include <string>
+
+namespace mintknot::scheduling {
+
+/// Passes over schedulers that have not answered lately. Used on the loop's
+/// thread; the context outlives it.
+class scheduler_directory {
+public:
+    scheduler_directory(
+        relay::router_context& context, const placer_ports& ports,
+        base::milliseconds suspicion);
+
+    /// @return the scheduler of a domain; empty if there is none.
+    std::string find(const policy::domain& which) const;
+    /// @return the instance that schedules a server's domain; empty if it is
+    /// this one or there is none.
+    std::string find_elsewhere(const std::string& server_id) const;
+    /// The host has not answered in time.
+    void suspect(const std::string& host);
+
+private:
+    relay::router_context& context_;
+    const placer_ports& ports_;
+    base::milliseconds suspicion_;
+    std::map<std::string, base::steady_time> suspected_; ///< Until when.
+};
+
+} // namespace mintknot::scheduling
+
+#endif
--- a/libs/mintknotd-platform/state/include/mintknot/state/replica.hpp
+++ b/libs/mintknotd-platform/state/include/mintknot/state/replica.hpp
@@ -90,6 +90,11 @@
     void take(collection what, const document& change, std::string_view source);
     bool
     decode(collection what, const document& change, std::string_view source);
+    bool decode_configuration(const document& change, std::string_view source);
+    bool decode_server(const document& change, std::string_view source);
+    void log_rejected(
+        collection what, const document& change, std::string_view source,
+        const absl::Status& why);
 
     const document_codec& codec_;
     logging::line_log& log_;
--- a/libs/mintknotd-platform/state/src/replica.cpp
+++ b/libs/mintknotd-platform/state/src/replica.cpp
@@ -150,34 +150,33 @@
 
 bool replica::decode(
     collection what, const document& change, std::string_view source) {
-    const auto reject = [&](const absl::Status& status) {
-        log_.write(
-            "document_rejected",
-            {{"collection", to_string(what)},
-             {"key", change.key},
-             {"version", static_cast<std::int64_t>(change.version)},
-             {"source", source},
-             {"because",
-              std::string_view(
-                  status.message().data(), status.message().size())}});
+    return what == collection::configuration
+               ? decode_configuration(change, source)
+               : decode_server(change, source);
+}
+
+bool replica::decode_configuration(
+    const document& change, std::string_view source) {
+    if (!change.text)
+        return false;
+    auto config = codec_.read_configuration(*change.text);
+    if (!config.ok()) {
+        log_rejected(
+            collection::configuration, change, source, config.status());
         return false;
-    };
-    if (what == collection::configuration) {
-        if (!change.text)
-            return false;
-        auto config = codec_.read_configuration(*change.text);
-        if (!config.ok())
-            return reject(config.status());
-        log_.write(
-            "configuration",
-            {{"version", static_cast<std::int64_t>(config->version)},
-             {"row", static_cast<std::int64_t>(change.version)},
-             {"routes", static_cast<std::int64_t>(config->routes.size())},
-             {"source", source}});
-        handlers_.on_configuration(
-            std::make_shared<const traffic::configuration>(*std::move(config)));
-        return true;
     }
+    log_.write(
+        "configuration",
+        {{"version", static_cast<std::int64_t>(config->version)},
+         {"row", static_cast<std::int64_t>(change.version)},
+         {"routes", static_cast<std::int64_t>(config->routes.size())},
+         {"source", source}});
+    handlers_.on_configuration(
+        std::make_shared<const traffic::configuration>(*std::move(config)));
+    return true;
+}
+
+bool replica::decode_server(const document& change, std::string_view source) {
     if (!change.text) {
         log_.write(
             "server_gone", {{"server", change.key},
@@ -187,8 +186,10 @@
         return true;
     }
     auto server = codec_.read_server(change.key, *change.text);
-    if (!server.ok())
-        return reject(server.status());
+    if (!server.ok()) {
+        log_rejected(collection::servers, change, source, server.status());
+        return false;
+    }
     log_.write(
         "server", {{"server", change.key},
                    {"service", server->service},
@@ -201,6 +202,19 @@
     return true;
 }
 
+void replica::log_rejected(
+    collection what, const document& change, std::string_view source,
+    const absl::Status& why) {
+    log_.write(
+        "document_rejected",
+        {{"collection", to_string(what)},
+         {"key", change.key},
+         {"version", static_cast<std::int64_t>(change.version)},
+         {"source", source},
+         {"because",
+          std::string_view(why.message().data(), why.message().size())}});
+}
+
 std::string replica::snapshot(const std::vector<collection>& parts) const {
     nlohmann::json result = nlohmann::json::object();
     for (const collection what : parts) {
--- a/libs/mintknotd/config/include/mintknot/config/catalogue.hpp
+++ b/libs/mintknotd/config/include/mintknot/config/catalogue.hpp
@@ -78,6 +78,7 @@
 
 private:
     struct kinds;
+    class kinds_editor;
 
     std::string missing_target(const change& wanted) const;
     std::string remaining_reference(const change& wanted) const;
--- a/libs/mintknotd/config/include/mintknot/config/config_store.hpp
+++ b/libs/mintknotd/config/include/mintknot/config/config_store.hpp
@@ -54,6 +54,11 @@
     absl::StatusOr<change> find_change(const std::string& change_id);
 
 private:
+    /// One transaction on what stands now. @return nothing: try again.
+    /// @param answer_lost whether the answer to a try has been lost.
+    std::optional<change_outcome>
+    try_write(change_request& request, bool& answer_lost);
+
     platform::platform_client& platform_;
     std::uint64_t log_kept_;
 };
--- a/libs/mintknotd/config/src/catalogue.cpp
+++ b/libs/mintknotd/config/src/catalogue.cpp
@@ -1,76 +1,15 @@
 #include <mintknot/config/catalogue.hpp>
 
+#include "catalogue_editor.hpp"
+
 #include <fmt/format.h>
 
 #include <algorithm>
 
 namespace mintknot::config {
 
-/// One shared map for each kind, with the indexes that requests use.
-struct catalogue::kinds {
-    template<class Spec>
-    using shared_map = std::shared_ptr<const entry_map<Spec>>;
-
-    shared_map<service_spec> services =
-        std::make_shared<entry_map<service_spec>>();
-    shared_map<pool_spec> pools = std::make_shared<entry_map<pool_spec>>();
-    shared_map<backend_server_spec> servers =
-        std::make_shared<entry_map<backend_server_spec>>();
-    shared_map<request_class_spec> classes =
-        std::make_shared<entry_map<request_class_spec>>();
-    shared_map<organisation_spec> organisations =
-        std::make_shared<entry_map<organisation_spec>>();
-    shared_map<planned_change_spec> changes =
-        std::make_shared<entry_map<planned_change_spec>>();
-    std::shared_ptr<
-        const std::unordered_map<std::string, entry_ptr<organisation_spec>>>
-        digests = std::make_shared<
-            std::unordered_map<std::string, entry_ptr<organisation_spec>>>();
-};
-
 namespace {
 
-/// Copies a kind's map, changes it in place and shares the copy.
-template<class Spec> class map_editor {
-public:
-    using parser = absl::StatusOr<Spec> (*)(const nlohmann::json&);
-
-    map_editor(std::shared_ptr<const entry_map<Spec>>& shared, parser parse)
-        : shared_(shared)
-        , parse_(parse) {}
-
-    void apply(const change& next) {
-        if (!copy_)
-            copy_ = std::make_shared<entry_map<Spec>>(*shared_);
-        const auto current = copy_->find(next.name);
-        // A start-up scan may have seen a later state of this resource.
-        if (current != copy_->end() &&
-            current->second->revision >= next.revision)
-            return;
-        if (next.erased) {
-            copy_->erase(next.name);
-            return;
-        }
-        auto spec = parse_(next.spec);
-        if (!spec.ok())
-            return;
-        (*copy_)[next.name] = std::make_shared<const entry<Spec>>(
-            entry<Spec>{next.name, next.revision, *std::move(spec), next.spec});
-    }
-
-    ~map_editor() {
-        if (copy_)
-            shared_ = std::move(copy_);
-    }
-    map_editor(const map_editor&) = delete;
-    map_editor& operator=(const map_editor&) = delete;
-
-private:
-    std::shared_ptr<const entry_map<Spec>>& shared_;
-    parser parse_;
-    std::shared_ptr<entry_map<Spec>> copy_;
-};
-
 template<class Spec>
 entry_ptr<Spec> find(const entry_map<Spec>& map, std::string_view name) {
     const auto position = map.find(name);
@@ -120,40 +59,12 @@
     catalogue result;
     result.revision_ = revision_;
     {
-        map_editor<service_spec> services(next->services, parse_service);
-        map_editor<pool_spec> pools(next->pools, parse_pool);
-        map_editor<backend_server_spec> servers(
-            next->servers, parse_backend_server);
-        map_editor<request_class_spec> classes(
-            next->classes, parse_request_class);
-        map_editor<organisation_spec> organisations(
-            next->organisations, parse_organisation);
-        map_editor<planned_change_spec> planned(
-            next->changes, parse_planned_change);
+        kinds_editor editor(*next);
         for (const change& item : changes) {
             if (item.revision <= result.revision_)
                 continue;
             result.revision_ = item.revision;
-            switch (item.kind) {
-            case resource_kind::service:
-                services.apply(item);
-                break;
-            case resource_kind::pool:
-                pools.apply(item);
-                break;
-            case resource_kind::backend_server:
-                servers.apply(item);
-                break;
-            case resource_kind::request_class:
-                classes.apply(item);
-                break;
-            case resource_kind::organisation:
-                organisations.apply(item);
-                break;
-            case resource_kind::planned_change:
-                planned.apply(item);
-                break;
-            }
+            editor.apply(item);
         }
     }
     if (next->organisations != kinds_->organisations)
--- a/libs/mintknotd/config/src/config_store.cpp
+++ b/libs/mintknotd/config/src/config_store.cpp
@@ -50,6 +50,26 @@
     return outcome;
 }
 
+change_outcome accepted(std::uint64_t revision) {
+    change_outcome outcome;
+    outcome.revision = revision;
+    return outcome;
+}
+
+/// @param answer_lost an earlier try may still take effect.
+change_outcome
+out_of_reach(const change& wanted, bool answer_lost, const std::string& why) {
+    if (!answer_lost)
+        return refused(
+            base::reason::platform_unreachable, base::verdict::not_run, why);
+    return refused(
+        base::reason::outcome_unknown, base::verdict::may_have_run,
+        fmt::format(
+            "the platform went away while the change was written; ask for "
+            "change {}: {}",
+            wanted.change_id, why));
+}
+
 /// The rows that a change is based on.
 struct change_base {
     table_row head;
@@ -90,65 +110,56 @@
     , log_kept_(log_kept) {}
 
 change_outcome config_store::write(const change_request& request) {
-    change wanted = request.wanted;
-    const std::string key = resource_key(wanted.kind, wanted.name);
+    change_request tried = request;
     // Once an answer was lost, an earlier try may take effect at any moment.
     bool answer_lost = false;
-    const auto out_of_reach = [&](const std::string& why) {
-        if (answer_lost)
-            return refused(
-                base::reason::outcome_unknown, base::verdict::may_have_run,
-                fmt::format(
-                    "the platform went away while the change was written; ask "
-                    "for change {}: {}",
-                    wanted.change_id, why));
-        return refused(
-            base::reason::platform_unreachable, base::verdict::not_run, why);
-    };
-
-    for (int tries = 0; tries < most_tries; ++tries) {
-        const auto head = platform_.read(std::string(head_key));
-        const auto current = platform_.read(key);
-        if (!head.ok())
-            return out_of_reach(base::text_of(head.status()));
-        if (!current.ok())
-            return out_of_reach(base::text_of(current.status()));
-        if (answer_lost) {
-            const auto written = find_change(wanted.change_id);
-            if (written.ok()) {
-                change_outcome outcome;
-                outcome.revision = written->revision;
-                return outcome;
-            }
-            if (!absl::IsNotFound(written.status()))
-                return out_of_reach(base::text_of(written.status()));
-        }
-        const std::uint64_t current_revision =
-            field_or(current->value, "revision", std::uint64_t{0});
-        const bool as_expected = !request.expected_revision ||
-                                 *request.expected_revision == current_revision;
-        if (!as_expected || (wanted.erased && current->revision == 0))
-            return conflict(wanted, *current);
-
-        wanted.revision = head_of(*head) + 1;
-        const auto result = platform_.commit(
-            transaction_for(wanted, {*head, *current}, log_kept_));
-        switch (result.end) {
-        case commit_result::state::applied: {
-            change_outcome outcome;
-            outcome.revision = wanted.revision;
-            return outcome;
-        }
-        case commit_result::state::not_applied:
-            return out_of_reach(result.error);
-        case commit_result::state::unknown:
-            answer_lost = true;
-            break;
-        case commit_result::state::conflict:
-            break; // Someone else was first: look again.
-        }
+    for (int tries = 0; tries < most_tries; ++tries)
+        if (auto outcome = try_write(tried, answer_lost))
+            return *std::move(outcome);
+    return out_of_reach(
+        tried.wanted, answer_lost, "too many changes at the same time");
+}
+
+std::optional<change_outcome>
+config_store::try_write(change_request& request, bool& answer_lost) {
+    change& wanted = request.wanted;
+    const auto head = platform_.read(std::string(head_key));
+    const auto current = platform_.read(resource_key(wanted.kind, wanted.name));
+    if (!head.ok())
+        return out_of_reach(wanted, answer_lost, base::text_of(head.status()));
+    if (!current.ok())
+        return out_of_reach(
+            wanted, answer_lost, base::text_of(current.status()));
+    if (answer_lost) {
+        const auto written = find_change(wanted.change_id);
+        if (written.ok())
+            return accepted(written->revision);
+        if (!absl::IsNotFound(written.status()))
+            return out_of_reach(
+                wanted, answer_lost, base::text_of(written.status()));
+    }
+    const std::uint64_t current_revision =
+        field_or(current->value, "revision", std::uint64_t{0});
+    const bool as_expected = !request.expected_revision ||
+                             *request.expected_revision == current_revision;
+    if (!as_expected || (wanted.erased && current->revision == 0))
+        return conflict(wanted, *current);
+
+    wanted.revision = head_of(*head) + 1;
+    const auto result =
+        platform_.commit(transaction_for(wanted, {*head, *current}, log_kept_));
+    switch (result.end) {
+    case commit_result::state::applied:
+        return accepted(wanted.revision);
+    case commit_result::state::not_applied:
+        return out_of_reach(wanted, answer_lost, result.error);
+    case commit_result::state::unknown:
+        answer_lost = true;
+        break;
+    case commit_result::state::conflict:
+        break; // Someone else was first: look again.
     }
-    return out_of_reach("too many changes at the same time");
+    return std::nullopt;
 }
 
 absl::StatusOr<std::uint64_t> config_store::head() {
--- a/libs/mintknotd/entry/src/call_parser.cpp
+++ b/libs/mintknotd/entry/src/call_parser.cpp
@@ -51,21 +51,26 @@
     return prompt;
 }
 
-} // namespace
-
-base::outcome<caller_identity>
-identify(const config::catalogue& current, const caller_headers& headers) {
+/// Finds the organisation behind the key.
+std::optional<base::refusal> read_key(
+    const config::catalogue& current, const caller_headers& headers,
+    caller_identity& caller) {
     if (!headers.authorization.starts_with(bearer))
         return not_run(
             reason::missing_key,
             "the header 'Authorization: Bearer KEY' is needed");
     const std::string key = headers.authorization.substr(bearer.size());
-    caller_identity caller;
     caller.organisation =
         current.organisation_for_digest(base::sha256_hex(key));
     if (!caller.organisation)
         return not_run(reason::unknown_key, "the key is not known");
+    return std::nullopt;
+}
 
+/// Finds the class, and whether the organisation may use it.
+std::optional<base::refusal> read_class(
+    const config::catalogue& current, const caller_headers& headers,
+    caller_identity& caller) {
     caller.class_name = headers.request_class.empty()
                             ? std::string(default_class)
                             : headers.request_class;
@@ -82,27 +87,36 @@
         allowed.empty() || headers.request_class.empty() ||
         std::find(allowed.begin(), allowed.end(), caller.class_name) !=
             allowed.end();
-    if (!may_use)
+    if (may_use)
+        return std::nullopt;
+    return not_run(
+        reason::class_not_allowed,
+        fmt::format(
+            "organisation '{}' may not use class '{}'",
+            caller.organisation->name, caller.class_name));
+}
+
+/// Takes the smaller of the class's deadline and the caller's.
+std::optional<base::refusal>
+read_deadline(const caller_headers& headers, caller_identity& caller) {
+    caller.deadline = caller.request_class.deadline;
+    if (headers.deadline_ms.empty())
+        return std::nullopt;
+    const auto deadline =
+        parse_number(headers.deadline_ms, 1, longest_deadline_ms);
+    if (!deadline)
         return not_run(
-            reason::class_not_allowed,
+            reason::bad_field,
             fmt::format(
-                "organisation '{}' may not use class '{}'",
-                caller.organisation->name, caller.class_name));
+                "X-Deadline-Ms: found '{}', allowed is a whole number "
+                "from 1 to {}",
+                headers.deadline_ms, longest_deadline_ms));
+    caller.deadline = std::min(caller.deadline, base::milliseconds{*deadline});
+    return std::nullopt;
+}
 
-    caller.deadline = caller.request_class.deadline;
-    if (!headers.deadline_ms.empty()) {
-        const auto deadline =
-            parse_number(headers.deadline_ms, 1, longest_deadline_ms);
-        if (!deadline)
-            return not_run(
-                reason::bad_field,
-                fmt::format(
-                    "X-Deadline-Ms: found '{}', allowed is a whole number "
-                    "from 1 to {}",
-                    headers.deadline_ms, longest_deadline_ms));
-        caller.deadline =
-            std::min(caller.deadline, base::milliseconds{*deadline});
-    }
+std::optional<base::refusal>
+read_idempotency_key(const caller_headers& headers, caller_identity& caller) {
     if (headers.idempotency_key.size() > longest_idempotency_key)
         return not_run(
             reason::bad_field,
@@ -110,6 +124,22 @@
                 "Idempotency-Key: found {} bytes, allowed are {}",
                 headers.idempotency_key.size(), longest_idempotency_key));
     caller.idempotency_key = headers.idempotency_key;
+    return std::nullopt;
+}
+
+} // namespace
+
+base::outcome<caller_identity>
+identify(const config::catalogue& current, const caller_headers& headers) {
+    caller_identity caller;
+    if (auto wrong = read_key(current, headers, caller))
+        return *std::move(wrong);
+    if (auto wrong = read_class(current, headers, caller))
+        return *std::move(wrong);
+    if (auto wrong = read_deadline(headers, caller))
+        return *std::move(wrong);
+    if (auto wrong = read_idempotency_key(headers, caller))
+        return *std::move(wrong);
     return caller;
 }
 
--- a/libs/mintknotd/net/src/http_client.cpp
+++ b/libs/mintknotd/net/src/http_client.cpp
@@ -58,6 +58,33 @@
     return result;
 }
 
+/// Hands the body of a success on piece by piece; that of a failure is kept.
+void stream_body(
+    httplib::Request& call, int& head_status, http_response& answer,
+    const http_client::data_receiver& on_data) {
+    call.response_handler = [&head_status](const httplib::Response& head) {
+        head_status = head.status;
+        return true;
+    };
+    call.content_receiver = [&](const char* data, size_t length, uint64_t,
+                                uint64_t) {
+        if (head_status >= 200 && head_status < 300)
+            return on_data(std::string_view(data, length));
+        answer.body.append(data, length);
+        return true;
+    };
+}
+
+void take_result(
+    httplib::Response& result, http_response& answer, bool with_body) {
+    answer.status = result.status;
+    answer.run = base::verdict::ran;
+    if (with_body)
+        answer.body = std::move(result.body);
+    for (auto& [name, value] : result.headers)
+        answer.headers.push_back({name, value});
+}
+
 } // namespace
 
 std::string http_response::header(std::string_view name) const {
@@ -125,6 +152,25 @@
                 {std::move(client), base::steady_clock::now()});
     }
 
+    /// @return false if the canceller has been used already.
+    static bool
+    register_with(call_canceller* canceller, httplib::Client* client) {
+        if (canceller == nullptr)
+            return true;
+        const std::lock_guard lock(canceller->impl_->mutex);
+        if (canceller->impl_->cancelled)
+            return false;
+        canceller->impl_->running = client;
+        return true;
+    }
+
+    static void unregister(call_canceller* canceller) {
+        if (canceller == nullptr)
+            return;
+        const std::lock_guard lock(canceller->impl_->mutex);
+        canceller->impl_->running = nullptr;
+    }
+
     http_response send(
         const base::address& server, const http_request& request,
         const data_receiver* on_data, call_canceller* canceller);
@@ -141,37 +187,16 @@
     httplib::Request call = to_library(request);
     http_response answer;
     int head_status = 0;
-    if (on_data != nullptr) {
-        call.response_handler = [&](const httplib::Response& head) {
-            head_status = head.status;
-            return true;
-        };
-        call.content_receiver = [&](const char* data, size_t length, uint64_t,
-                                    uint64_t) {
-            if (head_status >= 200 && head_status < 300)
-                return (*on_data)(std::string_view(data, length));
-            answer.body.append(data, length);
-            return true;
-        };
-    }
-
-    // Register with the canceller, unless it has already been used.
-    if (canceller != nullptr) {
-        const std::lock_guard lock(canceller->impl_->mutex);
-        if (canceller->impl_->cancelled) {
-            answer.error = "cancelled before it was sent";
-            return answer;
-        }
-        canceller->impl_->running = client.get();
+    if (on_data != nullptr)
+        stream_body(call, head_status, answer, *on_data);
+    if (!register_with(canceller, client.get())) {
+        answer.error = "cancelled before it was sent";
+        return answer;
     }
     httplib::Response result;
     httplib::Error error = httplib::Error::Success;
     const bool done = client->send(call, result, error);
-    if (canceller != nullptr) {
-        const std::lock_guard lock(canceller->impl_->mutex);
-        canceller->impl_->running = nullptr;
-    }
-
+    unregister(canceller);
     if (!done) {
         answer.run = verdict_of(error);
         answer.error = httplib::to_string(error);
@@ -179,12 +204,7 @@
             answer.run = base::verdict::may_have_run;
         return answer;
     }
-    answer.status = result.status;
-    answer.run = base::verdict::ran;
-    if (on_data == nullptr)
-        answer.body = std::move(result.body);
-    for (auto& [name, value] : result.headers)
-        answer.headers.push_back({name, value});
+    take_result(result, answer, on_data == nullptr);
     if (!equal_names(result.get_header_value("Connection"), "close"))
         give_back(server, std::move(client));
     return answer;
--- a/libs/mintknotd/operators/include/mintknot/operators/operator_api.hpp
+++ b/libs/mintknotd/operators/include/mintknot/operators/operator_api.hpp
@@ -57,6 +57,9 @@
     void add_health_routes(httplib::Server& routes);
 
 private:
+    void add_resource_routes(httplib::Server& routes);
+    void add_record_routes(httplib::Server& routes);
+
     struct impl;
     std::unique_ptr<impl> impl_;
 };
--- a/libs/mintknotd/operators/src/operator_api.cpp
+++ b/libs/mintknotd/operators/src/operator_api.cpp
@@ -167,11 +167,26 @@
 
 void operator_api::add_routes(httplib::Server& routes) {
     const operator_parts& parts = impl_->parts;
-    const std::string one = "/v1/resources/([^/]+)/([^/]+)";
     add_health_routes(routes);
     routes.Get("/metrics", [&parts](const request&, response& out) {
         out.set_content(parts.metrics.text(), "text/plain; version=0.0.4");
     });
+    add_resource_routes(routes);
+    add_record_routes(routes);
+    routes.set_error_handler([](const request& in, response& out) {
+        if (!out.body.empty())
+            return;
+        const int status = out.status;
+        send_refusal(
+            out, {status == 404 ? reason::not_found : reason::bad_field,
+                  fmt::format("{} {}: not understood", in.method, in.path)});
+        out.status = status;
+    });
+}
+
+void operator_api::add_resource_routes(httplib::Server& routes) {
+    const operator_parts& parts = impl_->parts;
+    const std::string one = "/v1/resources/([^/]+)/([^/]+)";
     const auto list = impl_->guarded(
         [&parts](const std::string&, const request& in, response& out) {
             list_resources(parts, in, out);
@@ -201,6 +216,10 @@
             [&parts](const std::string&, const request& in, response& out) {
                 get_change(parts, in, out);
             }));
+}
+
+void operator_api::add_record_routes(httplib::Server& routes) {
+    const operator_parts& parts = impl_->parts;
     routes.Get(
         "/v1/why/([^/]+)",
         impl_->guarded(
@@ -222,15 +241,6 @@
             [&parts](const std::string&, const request&, response& out) {
                 send_json(out, 200, status_report(parts));
             }));
-    routes.set_error_handler([](const request& in, response& out) {
-        if (!out.body.empty())
-            return;
-        const int status = out.status;
-        send_refusal(
-            out, {status == 404 ? reason::not_found : reason::bad_field,
-                  fmt::format("{} {}: not understood", in.method, in.path)});
-        out.status = status;
-    });
 }
 
 } // namespace mintknot::operators
--- a/libs/mintknotd/routing/include/mintknot/routing/scheduler.hpp
+++ b/libs/mintknotd/routing/include/mintknot/routing/scheduler.hpp
@@ -106,9 +106,6 @@
 /// now or whose time is over. @return answers with their tickets.
 std::vector<place_answer> advance(scheduler& state, base::steady_time now);
 
-/// Drops a queued request whose entry no longer waits.
-void forget_ticket(scheduler& state, std::uint64_t ticket);
-
 } // namespace mintknot::routing
 
 #endif
--- a/libs/mintknotd/routing/src/scheduler.cpp
+++ b/libs/mintknotd/routing/src/scheduler.cpp
@@ -229,6 +229,44 @@
     });
 }
 
+/// @return an answer for a request that others go before.
+place_answer queued_behind(const scheduler& state, const place_query& query) {
+    place_choice choice;
+    choice.code = base::reason::no_capacity;
+    choice.sentence =
+        fmt::format("{} requests wait already", state.queue.size());
+    place_answer answer;
+    answer.end = place_answer::state::queued;
+    answer.record = record_for(query, choice);
+    answer.record.kind = decision_kind::queued;
+    return answer;
+}
+
+/// Puts a request into the queue, or refuses it where it may not wait.
+/// @param answer of the try that found no room.
+place_answer
+enqueue(scheduler& state, queued_request&& wanted, place_answer answer) {
+    place_choice refused;
+    refused.code = answer.record.code;
+    refused.sentence = answer.record.sentence;
+    refused.candidates = answer.record.candidates;
+    if (!wanted.query.may_wait)
+        return refuse(wanted.query, refused, wanted.goal.first_token);
+    if (state.queue.size() >= state.options.most_queued) {
+        refused.code = base::reason::queue_full;
+        refused.sentence = fmt::format(
+            "{} requests wait already; {}", state.queue.size(),
+            answer.record.sentence);
+        return refuse(wanted.query, refused, wanted.goal.first_token);
+    }
+    wanted.ticket = state.next_ticket++;
+    answer.ticket = wanted.ticket;
+    const auto position = std::upper_bound(
+        state.queue.begin(), state.queue.end(), wanted, goes_before);
+    state.queue.insert(position, std::move(wanted));
+    return answer;
+}
+
 } // namespace
 
 scheduler::scheduler(const scheduler_options& chosen)
@@ -240,48 +278,16 @@
     base::steady_time now) {
     assert(query.prompt_tokens > 0);
     // Those who wait already go first, unless this one is more urgent.
-    const queued_request wanted{
+    queued_request wanted{
         0, query, goal, now, latest_start(state, query, goal, now)};
     const bool others_first =
         !state.queue.empty() && !goes_before(wanted, state.queue.front());
-    place_answer answer;
-    if (others_first) {
-        answer.end = place_answer::state::queued;
-        place_choice choice;
-        choice.code = base::reason::no_capacity;
-        choice.sentence =
-            fmt::format("{} requests wait already", state.queue.size());
-        answer.record = record_for(query, choice);
-        answer.record.kind = decision_kind::queued;
-    } else {
-        answer = try_once(state, query, goal, now);
-    }
+    const place_answer answer = others_first
+                                    ? queued_behind(state, query)
+                                    : try_once(state, query, goal, now);
     if (answer.end != place_answer::state::queued)
         return answer;
-
-    if (!query.may_wait) {
-        place_choice no_room;
-        no_room.code = answer.record.code;
-        no_room.sentence = answer.record.sentence;
-        no_room.candidates = answer.record.candidates;
-        return refuse(query, no_room, goal.first_token);
-    }
-    if (state.queue.size() >= state.options.most_queued) {
-        place_choice full;
-        full.code = base::reason::queue_full;
-        full.sentence = fmt::format(
-            "{} requests wait already; {}", state.queue.size(),
-            answer.record.sentence);
-        full.candidates = answer.record.candidates;
-        return refuse(query, full, goal.first_token);
-    }
-    queued_request waiting = wanted;
-    waiting.ticket = state.next_ticket++;
-    answer.ticket = waiting.ticket;
-    const auto position = std::upper_bound(
-        state.queue.begin(), state.queue.end(), waiting, goes_before);
-    state.queue.insert(position, std::move(waiting));
-    return answer;
+    return enqueue(state, std::move(wanted), answer);
 }
 
 void take_progress(
@@ -375,10 +381,4 @@
     return answers;
 }
 
-void forget_ticket(scheduler& state, std::uint64_t ticket) {
-    std::erase_if(state.queue, [ticket](const queued_request& item) {
-        return item.ticket == ticket;
-    });
-}
-
 } // namespace mintknot::routing
--- a/libs/mintknotd/routing/tests/test_scheduler.cpp
+++ b/libs/mintknotd/routing/tests/test_scheduler.cpp
@@ -94,8 +94,6 @@
             place(state, query_of(1000, 100), goal, start).end == end::queued);
     const auto answer = place(state, query_of(1000, 100), goal, start);
     cr_assert(answer.refused.code == base::reason::queue_full);
-    forget_ticket(state, 1);
-    cr_assert_eq(state.queue.size(), 1U);
 }
 
 Test(scheduler, a_silent_entry_loses_its_reservations) {
