--- a/libs/mintknotd/claims/include/mintknot/claims/claim_ledger.hpp
+++ b/libs/mintknotd/claims/include/mintknot/claims/claim_ledger.hpp
@@ -6,7 +6,7 @@
 #include <mintknot/base/refusal.hpp>
 #include <mintknot/claims/claim.hpp>
 #include <mintknot/claims/claim_writer.hpp>
-#include <mintknot/table_service/platform_client.hpp>
+#include <mintknot/table_service/table_client.hpp>
 
 #include <string>
 
--- a/libs/mintknotd/claims/include/mintknot/claims/claim_writer.hpp
+++ b/libs/mintknotd/claims/include/mintknot/claims/claim_writer.hpp
@@ -4,7 +4,7 @@
 #define MINTKNOT_CLAIMS_CLAIM_WRITER_HPP
 
 #include <mintknot/base/time.hpp>
-#include <mintknot/table_service/platform_client.hpp>
+#include <mintknot/table_service/table_client.hpp>
 
 #include <cstddef>
 #include <memory>
--- a/libs/mintknotd/claims/tests/test_claim_ledger.cpp
+++ b/libs/mintknotd/claims/tests/test_claim_ledger.cpp
@@ -1,8 +1,8 @@
 #include <mintknot/claims/claim_ledger.hpp>
 
 #include <mintknot/base/random.hpp>
-#include <mintknot/table_service/http_platform.hpp>
 #include <mintknot/standins/fake_platform.hpp>
+#include <mintknot/table_service/http_table_client.hpp>
 
 #include <criterion/criterion.h>
 
--- a/libs/mintknotd/claims/tests/test_claim_sweeper.cpp
+++ b/libs/mintknotd/claims/tests/test_claim_sweeper.cpp
@@ -1,7 +1,7 @@
 #include <mintknot/claims/claim.hpp>
 #include <mintknot/claims/claim_sweeper.hpp>
-#include <mintknot/table_service/http_platform.hpp>
 #include <mintknot/standins/fake_platform.hpp>
+#include <mintknot/table_service/http_table_client.hpp>
 
 #include <criterion/criterion.h>
 
--- a/libs/mintknotd/config/include/mintknot/config/config_store.hpp
+++ b/libs/mintknotd/config/include/mintknot/config/config_store.hpp
@@ -5,7 +5,7 @@
 
 #include <mintknot/base/refusal.hpp>
 #include <mintknot/config/catalogue.hpp>
-#include <mintknot/table_service/platform_client.hpp>
+#include <mintknot/table_service/table_client.hpp>
 
 #include <absl/status/statusor.h>
 
--- a/libs/mintknotd/daemon/src/daemon.cpp
+++ b/libs/mintknotd/daemon/src/daemon.cpp
@@ -13,8 +13,8 @@
 #include <mintknot/entry/placer.hpp>
 #include <mintknot/net/http_server.hpp>
 #include <mintknot/operators/operator_api.hpp>
-#include <mintknot/table_service/http_platform.hpp>
 #include <mintknot/supervise/supervisor.hpp>
+#include <mintknot/table_service/http_table_client.hpp>
 
 #include <fmt/format.h>
 
--- a/libs/mintknotd/table_service/include/mintknot/table_service/http_platform.hpp
+++ b/libs/mintknotd/table_service/include/mintknot/table_service/http_table_client.hpp
@@ -6,7 +6,7 @@
 #include <mintknot/base/address.hpp>
 #include <mintknot/base/time.hpp>
 #include <mintknot/net/http_client.hpp>
-#include <mintknot/table_service/platform_client.hpp>
+#include <mintknot/table_service/table_client.hpp>
 
 namespace mintknot::platform {
 
--- a/libs/mintknotd/table_service/src/http_platform.cpp
+++ b/libs/mintknotd/table_service/src/http_table_client.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/table_service/http_platform.hpp>
+#include <mintknot/table_service/http_table_client.hpp>
 
 #include <mintknot/base/json_reader.hpp>
 
--- a/testing/standins/tests/test_fake_platform.cpp
+++ b/testing/standins/tests/test_fake_platform.cpp
@@ -1,6 +1,6 @@
 #include <fmt/format.h>
 #include <mintknot/standins/fake_platform.hpp>
-#include <mintknot/table_service/http_platform.hpp>
+#include <mintknot/table_service/http_table_client.hpp>
 
 #include <criterion/criterion.h>
 
