--- a/libs/mintknotd-platform/policy/src/attempts.cpp
+++ b/libs/mintknotd-platform/policy/src/attempts.cpp
@@ -66,11 +66,12 @@
     return repeats("server_failure", last, why);
 }
 
-/// Goes on at another engine, or ends.
+/// Goes on at another engine, or ends. A stream may run again only where its
+/// route is resumable.
 next_step resumes(
     std::string_view reason, const traffic::route& route,
     const attempts& so_far) {
-    if (route.resumable && may_run_again(route, so_far))
+    if (may_run_again(route, so_far))
         return {action::resume, reason};
     return ends(reason, so_far);
 }
@@ -87,7 +88,7 @@
 
 next_step
 after_decode_silence(const traffic::route& route, const attempts& so_far) {
-    if (!route.resumable || !may_run_again(route, so_far))
+    if (!may_run_again(route, so_far))
         return {action::keep_waiting, "decode_silent"};
     return {
         action::resume, "decode_silent", true, action::keep_waiting,
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/dialect.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/dialect.hpp
@@ -41,9 +41,9 @@
 /// What the head of a server's answer says.
 struct answer_terms {
     std::string request_id;
-    bool not_executed = false; ///< It states that the request has not run.
-    bool sealed = false;       ///< It carries the server's signature.
-    bool encoded = false;      ///< The body is not the one that was asked for.
+    bool not_executed = false;  ///< It states that the request has not run.
+    bool has_signature = false; ///< Of the server; an answer without is bad.
+    bool has_content_coding = false; ///< Which was not asked for.
     bool event_stream = false;
     std::string server_id; ///< Only answers to health checks name it.
 };
--- a/libs/mintknotd-platform/relay/src/generation_decode.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_decode.cpp
@@ -78,8 +78,9 @@
 void generation_exchange::on_decode_head(http1::response_head& head) {
     decode_.answer = head;
     decode_.terms = context_.protocol.read_answer(head);
-    decode_.streaming = is_success(head.status) && decode_.terms.sealed &&
-                        !decode_.terms.encoded;
+    decode_.streaming = is_success(head.status) &&
+                        decode_.terms.has_signature &&
+                        !decode_.terms.has_content_coding;
     if (!decode_.streaming)
         return;
     // The engine has taken the result over.
@@ -151,7 +152,8 @@
         return;
     }
     raise(base::verdict::ran);
-    const bool bad = is_success(decode_.answer.status) || decode_.terms.encoded;
+    const bool bad =
+        is_success(decode_.answer.status) || decode_.terms.has_content_coding;
     after_decode(
         bad ? policy::call_end::bad_answer : policy::call_end::server_failure,
         policy::call_result::failed);
--- a/libs/mintknotd-platform/relay/src/plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.cpp
@@ -110,8 +110,9 @@
         return;
     }
     body_.append(piece);
-    const bool stream = answer_terms_.event_stream && answer_terms_.sealed &&
-                        !answer_terms_.encoded && is_success(answer_.status);
+    const bool stream =
+        answer_terms_.event_stream && answer_terms_.has_signature &&
+        !answer_terms_.has_content_coding && is_success(answer_.status);
     if (stream || body_.size() > max_held_bytes)
         start_streaming();
 }
@@ -135,8 +136,9 @@
 policy::call_end plain_exchange::end_of_answer() const {
     if (answer_terms_.not_executed || answer_.status == status_misdirected)
         return policy::call_end::rejected;
-    const bool unsealed = is_success(answer_.status) && !answer_terms_.sealed;
-    if (answer_terms_.encoded || unsealed)
+    const bool unsealed =
+        is_success(answer_.status) && !answer_terms_.has_signature;
+    if (answer_terms_.has_content_coding || unsealed)
         return policy::call_end::bad_answer;
     return is_server_failure(answer_.status) ? policy::call_end::server_failure
                                              : policy::call_end::answered;
--- a/libs/mintknotd-platform/relay/tests/relay_fixture.cpp
+++ b/libs/mintknotd-platform/relay/tests/relay_fixture.cpp
@@ -52,8 +52,9 @@
     answer_terms terms;
     terms.request_id = text_of(head.fields, "Id");
     terms.not_executed = !text_of(head.fields, "Not-Run").empty();
-    terms.sealed = !text_of(head.fields, "Seal").empty();
-    terms.encoded = !text_of(head.fields, "Content-Encoding").empty();
+    terms.has_signature = !text_of(head.fields, "Seal").empty();
+    terms.has_content_coding =
+        !text_of(head.fields, "Content-Encoding").empty();
     terms.event_stream = text_of(head.fields, "Content-Type") == "events";
     return terms;
 }
--- a/libs/mintknotd/claims/include/mintknot/claims/claim_ledger.hpp
+++ b/libs/mintknotd/claims/include/mintknot/claims/claim_ledger.hpp
@@ -32,7 +32,7 @@
 class claim_ledger {
 public:
     /// Both must outlive the ledger.
-    claim_ledger(platform::platform_client& platform, claim_writer& writer);
+    claim_ledger(table_service::table_client& platform, claim_writer& writer);
 
     /// Inserts the row if there is none. A lost answer is read back: the own
     /// token means that the claim is ours.
@@ -55,7 +55,7 @@
 private:
     bool rewrite(const claim_key& key, const claim& held);
 
-    platform::platform_client& platform_;
+    table_service::table_client& platform_;
     claim_writer& writer_;
 };
 
--- a/libs/mintknotd/claims/include/mintknot/claims/claim_sweeper.hpp
+++ b/libs/mintknotd/claims/include/mintknot/claims/claim_sweeper.hpp
@@ -31,7 +31,7 @@
 public:
     /// The platform must outlive the sweeper.
     claim_sweeper(
-        platform::platform_client& platform, const sweeper_options& options);
+        table_service::table_client& platform, const sweeper_options& options);
 
     /// Looks at the next page. @return how many claims were removed; 0 as well
     /// if the store is out of reach.
@@ -42,7 +42,7 @@
     void run(const std::stop_token& stop, const std::function<bool()>& is_ours);
 
 private:
-    platform::platform_client& platform_;
+    table_service::table_client& platform_;
     const sweeper_options options_;
     std::string after_; ///< The last key that was looked at.
 };
--- a/libs/mintknotd/claims/include/mintknot/claims/claim_writer.hpp
+++ b/libs/mintknotd/claims/include/mintknot/claims/claim_writer.hpp
@@ -27,14 +27,14 @@
 class claim_writer {
 public:
     claim_writer(
-        platform::platform_client& platform,
+        table_service::table_client& platform,
         const claim_writer_options& options);
     ~claim_writer();
     claim_writer(const claim_writer&) = delete;
     claim_writer& operator=(const claim_writer&) = delete;
 
     /// Writes one row and waits for the outcome.
-    platform::commit_result write(const platform::table_write& row);
+    table_service::commit_result write(const table_service::table_write& row);
 
     /// Serves write() until the stop.
     void run(const std::stop_token& stop);
--- a/libs/mintknotd/claims/src/claim_ledger.cpp
+++ b/libs/mintknotd/claims/src/claim_ledger.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-using platform::commit_result;
+using table_service::commit_result;
 
 /// Bodies beyond this are not kept; a repeated call is then told so.
 constexpr std::size_t longest_kept_body = 64U * 1024;
@@ -15,14 +15,14 @@
 } // namespace
 
 claim_ledger::claim_ledger(
-    platform::platform_client& platform, claim_writer& writer)
+    table_service::table_client& platform, claim_writer& writer)
     : platform_(platform)
     , writer_(writer) {}
 
 claim_result claim_ledger::take(const claim_key& key, const claim& wanted) {
     claim_result outcome;
     const auto write =
-        platform::insert_if_absent(row_key(key), to_json(wanted));
+        table_service::insert_if_absent(row_key(key), to_json(wanted));
     for (int tries = 0; tries < most_tries; ++tries) {
         const auto result = writer_.write(write);
         switch (result.end) {
@@ -63,7 +63,7 @@
 }
 
 bool claim_ledger::rewrite(const claim_key& key, const claim& held) {
-    platform::table_write write;
+    table_service::table_write write;
     write.key = row_key(key);
     write.value = to_json(held);
     for (int tries = 0; tries < most_tries; ++tries)
@@ -82,7 +82,7 @@
         if (!ours)
             return true;
         const auto result =
-            writer_.write(platform::erase(row_key(key), row->revision));
+            writer_.write(table_service::erase(row_key(key), row->revision));
         if (result.end == commit_result::state::applied)
             return true;
     }
--- a/libs/mintknotd/claims/src/claim_sweeper.cpp
+++ b/libs/mintknotd/claims/src/claim_sweeper.cpp
@@ -14,7 +14,7 @@
 } // namespace
 
 claim_sweeper::claim_sweeper(
-    platform::platform_client& platform, const sweeper_options& options)
+    table_service::table_client& platform, const sweeper_options& options)
     : platform_(platform)
     , options_(options) {}
 
@@ -25,17 +25,18 @@
     // A short page is the last one: the next round starts at the beginning.
     after_ = rows->size() < options_.page_rows ? "" : rows->back().key;
     const base::wall_time oldest = now - options_.kept;
-    platform::transaction erases;
-    for (const platform::table_row& row : *rows) {
+    table_service::transaction erases;
+    for (const table_service::table_row& row : *rows) {
         const base::wall_time created(
             base::milliseconds{claim_from_json(row.value).created_ms});
         if (created < oldest)
-            erases.push_back(platform::erase(row.key, row.revision));
+            erases.push_back(table_service::erase(row.key, row.revision));
     }
     if (erases.empty())
         return 0;
     const auto result = platform_.commit(erases);
-    const bool applied = result.end == platform::commit_result::state::applied;
+    const bool applied =
+        result.end == table_service::commit_result::state::applied;
     return applied ? erases.size() : 0;
 }
 
--- a/libs/mintknotd/claims/src/claim_writer.cpp
+++ b/libs/mintknotd/claims/src/claim_writer.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-using platform::commit_result;
-using platform::table_row;
+using table_service::commit_result;
+using table_service::table_row;
 
 struct waiting_write {
-    platform::table_write row;
+    table_service::table_write row;
     std::optional<commit_result> result;
     std::condition_variable done;
 };
@@ -24,11 +24,12 @@
 } // namespace
 
 struct claim_writer::impl {
-    impl(platform::platform_client& client, const claim_writer_options& chosen)
+    impl(
+        table_service::table_client& client, const claim_writer_options& chosen)
         : platform(client)
         , options(chosen) {}
 
-    platform::platform_client& platform;
+    table_service::table_client& platform;
     const claim_writer_options options;
     std::mutex mutex;
     std::condition_variable_any arrived;
@@ -77,7 +78,7 @@
 
 void claim_writer::impl::commit(group writes) {
     while (!writes.empty()) {
-        platform::transaction transaction;
+        table_service::transaction transaction;
         for (const auto& write : writes)
             transaction.push_back(write->row);
         const commit_result result = platform.commit(transaction);
@@ -106,12 +107,13 @@
 }
 
 claim_writer::claim_writer(
-    platform::platform_client& platform, const claim_writer_options& options)
+    table_service::table_client& platform, const claim_writer_options& options)
     : impl_(std::make_unique<impl>(platform, options)) {}
 
 claim_writer::~claim_writer() = default;
 
-platform::commit_result claim_writer::write(const platform::table_write& row) {
+table_service::commit_result
+claim_writer::write(const table_service::table_write& row) {
     auto entry = std::make_shared<waiting_write>();
     entry->row = row;
     std::unique_lock lock(impl_->mutex);
--- a/libs/mintknotd/claims/tests/test_claim_ledger.cpp
+++ b/libs/mintknotd/claims/tests/test_claim_ledger.cpp
@@ -34,7 +34,7 @@
         , ledger(client, writer) {}
 
     standins::fake_platform server{{}};
-    platform::http_platform client;
+    table_service::http_table_client client;
     claim_writer writer;
     std::jthread thread;
     claim_ledger ledger;
--- a/libs/mintknotd/claims/tests/test_claim_sweeper.cpp
+++ b/libs/mintknotd/claims/tests/test_claim_sweeper.cpp
@@ -21,13 +21,15 @@
     void add(const std::string& key, std::chrono::hours age) {
         claim row;
         row.created_ms = (now - age).time_since_epoch().count();
-        client.commit({platform::insert_if_absent(
+        client.commit({table_service::insert_if_absent(
             row_key({"school", key}), to_json(row))});
     }
-    std::size_t left() { return platform::scan_all(client, "claim/")->size(); }
+    std::size_t left() {
+        return table_service::scan_all(client, "claim/")->size();
+    }
 
     standins::fake_platform server{{.writes_per_second = 10000}};
-    platform::http_platform client;
+    table_service::http_table_client client;
 };
 
 } // namespace
@@ -36,7 +38,7 @@
     swept_store store;
     store.add("old", std::chrono::hours(25));
     store.add("young", std::chrono::hours(23));
-    store.client.commit({platform::insert_if_absent("config/head", 1)});
+    store.client.commit({table_service::insert_if_absent("config/head", 1)});
     claim_sweeper sweeper(store.client, {.kept = std::chrono::hours(24)});
     cr_assert_eq(sweeper.sweep_page(now), 1U);
     cr_assert_eq(store.left(), 1U);
--- a/libs/mintknotd/config/include/mintknot/config/config_store.hpp
+++ b/libs/mintknotd/config/include/mintknot/config/config_store.hpp
@@ -37,7 +37,7 @@
 class config_store {
 public:
     /// @param log_kept how many log entries stay in the table.
-    config_store(platform::platform_client& platform, std::uint64_t log_kept);
+    config_store(table_service::table_client& platform, std::uint64_t log_kept);
 
     change_outcome write(const change_request& request);
 
@@ -59,7 +59,7 @@
     std::optional<change_outcome>
     try_write(change_request& request, bool& answer_lost);
 
-    platform::platform_client& platform_;
+    table_service::table_client& platform_;
     std::uint64_t log_kept_;
 };
 
--- a/libs/mintknotd/config/src/config_store.cpp
+++ b/libs/mintknotd/config/src/config_store.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 using base::field_or;
-using platform::commit_result;
-using platform::table_row;
+using table_service::commit_result;
+using table_service::table_row;
 
 constexpr std::string_view head_key = "config/head";
 constexpr std::string_view log_prefix = "config/log/";
@@ -76,26 +76,26 @@
     table_row resource;
 };
 
-platform::transaction transaction_for(
+table_service::transaction transaction_for(
     const change& wanted, const change_base& rows, std::uint64_t log_kept) {
-    platform::transaction writes;
-    writes.push_back(platform::replace(
+    table_service::transaction writes;
+    writes.push_back(table_service::replace(
         std::string(head_key), {{"revision", wanted.revision}},
         rows.head.revision));
     const std::string key = resource_key(wanted.kind, wanted.name);
     if (wanted.erased)
-        writes.push_back(platform::erase(key, rows.resource.revision));
+        writes.push_back(table_service::erase(key, rows.resource.revision));
     else
-        writes.push_back(platform::replace(
+        writes.push_back(table_service::replace(
             key,
             to_json(resource{
                 wanted.kind, wanted.name, wanted.revision, wanted.spec}),
             rows.resource.revision));
-    writes.push_back(
-        platform::insert_if_absent(log_key(wanted.revision), to_json(wanted)));
+    writes.push_back(table_service::insert_if_absent(
+        log_key(wanted.revision), to_json(wanted)));
     if (wanted.revision > log_kept) {
-        platform::table_write trim;
-        trim.what = platform::table_write::action::erase;
+        table_service::table_write trim;
+        trim.what = table_service::table_write::action::erase;
         trim.key = log_key(wanted.revision - log_kept);
         writes.push_back(std::move(trim));
     }
@@ -105,7 +105,7 @@
 } // namespace
 
 config_store::config_store(
-    platform::platform_client& platform, std::uint64_t log_kept)
+    table_service::table_client& platform, std::uint64_t log_kept)
     : platform_(platform)
     , log_kept_(log_kept) {}
 
@@ -194,7 +194,7 @@
     if (!revision.ok())
         return revision.status();
     const auto rows =
-        platform::scan_all(platform_, std::string(resource_prefix));
+        table_service::scan_all(platform_, std::string(resource_prefix));
     if (!rows.ok())
         return rows.status();
     std::vector<resource> resources;
@@ -205,7 +205,8 @@
 }
 
 absl::StatusOr<change> config_store::find_change(const std::string& change_id) {
-    const auto rows = platform::scan_all(platform_, std::string(log_prefix));
+    const auto rows =
+        table_service::scan_all(platform_, std::string(log_prefix));
     if (!rows.ok())
         return rows.status();
     const auto position =
--- a/libs/mintknotd/config/tests/test_config_store.cpp
+++ b/libs/mintknotd/config/tests/test_config_store.cpp
@@ -34,7 +34,7 @@
 
     standins::fake_platform server{
         {.writes_per_second = 100000, .reads_per_second = 100000}};
-    platform::http_platform client;
+    table_service::http_table_client client;
     config::config_store store;
 };
 
--- a/libs/mintknotd/daemon/src/daemon.cpp
+++ b/libs/mintknotd/daemon/src/daemon.cpp
@@ -91,7 +91,7 @@
     const base::logger log{"daemon"};
     audit::decision_log decisions;
     metrics::traffic_metrics metrics{most_organisation_labels};
-    platform::http_platform platform;
+    table_service::http_table_client platform;
     config::change_feed feed{changes_kept};
     config::config_store store;
     claims::claim_writer claim_writer;
--- a/libs/mintknotd/table_service/include/mintknot/table_service/http_table_client.hpp
+++ b/libs/mintknotd/table_service/include/mintknot/table_service/http_table_client.hpp
@@ -1,20 +1,20 @@
 /// @file
 /// The platform by HTTP and JSON, as docs/STAND_INS.md writes it down.
-#ifndef MINTKNOT_PLATFORM_HTTP_PLATFORM_HPP
-#define MINTKNOT_PLATFORM_HTTP_PLATFORM_HPP
+#ifndef MINTKNOT_TABLE_SERVICE_HTTP_TABLE_CLIENT_HPP
+#define MINTKNOT_TABLE_SERVICE_HTTP_TABLE_CLIENT_HPP
 
 #include <mintknot/base/address.hpp>
 #include <mintknot/base/time.hpp>
 #include <mintknot/net/http_client.hpp>
 #include <mintknot/table_service/table_client.hpp>
 
-namespace mintknot::platform {
+namespace mintknot::table_service {
 
 /// Adapter to a platform at one address.
-class http_platform final : public platform_client {
+class http_table_client final : public table_client {
 public:
     /// @param timeout bound of each call.
-    http_platform(base::address where, base::milliseconds timeout);
+    http_table_client(base::address where, base::milliseconds timeout);
 
     commit_result commit(const transaction& writes) override;
     absl::StatusOr<table_row> read(const std::string& key) override;
@@ -32,6 +32,6 @@
     net::http_client client_;
 };
 
-} // namespace mintknot::platform
+} // namespace mintknot::table_service
 
 #endif
--- a/libs/mintknotd/table_service/include/mintknot/table_service/table_client.hpp
+++ b/libs/mintknotd/table_service/include/mintknot/table_service/table_client.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// The interface to the operators' platform: its table service.
-#ifndef MINTKNOT_PLATFORM_PLATFORM_CLIENT_HPP
-#define MINTKNOT_PLATFORM_PLATFORM_CLIENT_HPP
+#ifndef MINTKNOT_TABLE_SERVICE_TABLE_CLIENT_HPP
+#define MINTKNOT_TABLE_SERVICE_TABLE_CLIENT_HPP
 
 #include <mintknot/table_service/transaction.hpp>
 
@@ -10,17 +10,17 @@
 #include <string>
 #include <vector>
 
-namespace mintknot::platform {
+namespace mintknot::table_service {
 
 /// What mintknot needs of the platform. Implementations are thin adapters, so
 /// that a platform with another dialect costs one class. Calls block; safe
 /// from every thread. Unavailable means that the platform is out of reach.
-class platform_client {
+class table_client {
 public:
-    platform_client() = default;
-    platform_client(const platform_client&) = delete;
-    platform_client& operator=(const platform_client&) = delete;
-    virtual ~platform_client() = default;
+    table_client() = default;
+    table_client(const table_client&) = delete;
+    table_client& operator=(const table_client&) = delete;
+    virtual ~table_client() = default;
 
     virtual commit_result commit(const transaction& writes) = 0;
 
@@ -36,8 +36,8 @@
 
 /// Reads all rows with a prefix, page by page.
 absl::StatusOr<std::vector<table_row>>
-scan_all(platform_client& platform, const std::string& prefix);
+scan_all(table_client& platform, const std::string& prefix);
 
-} // namespace mintknot::platform
+} // namespace mintknot::table_service
 
 #endif
--- a/libs/mintknotd/table_service/include/mintknot/table_service/transaction.hpp
+++ b/libs/mintknotd/table_service/include/mintknot/table_service/transaction.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Rows and conditional transactions of the platform's table service.
-#ifndef MINTKNOT_PLATFORM_TRANSACTION_HPP
-#define MINTKNOT_PLATFORM_TRANSACTION_HPP
+#ifndef MINTKNOT_TABLE_SERVICE_TRANSACTION_HPP
+#define MINTKNOT_TABLE_SERVICE_TRANSACTION_HPP
 
 #include <nlohmann/json.hpp>
 
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-namespace mintknot::platform {
+namespace mintknot::table_service {
 
 /// One row. The revision grows with each write; 0 stands for "absent".
 struct table_row {
@@ -57,6 +57,6 @@
 /// @return a write that removes a row of exactly that revision.
 table_write erase(std::string key, std::uint64_t expected);
 
-} // namespace mintknot::platform
+} // namespace mintknot::table_service
 
 #endif
--- a/libs/mintknotd/table_service/src/http_table_client.cpp
+++ b/libs/mintknotd/table_service/src/http_table_client.cpp
@@ -5,7 +5,7 @@
 #include <fmt/format.h>
 #include <httplib.h>
 
-namespace mintknot::platform {
+namespace mintknot::table_service {
 
 namespace {
 
@@ -59,12 +59,13 @@
 
 } // namespace
 
-http_platform::http_platform(base::address where, base::milliseconds timeout)
+http_table_client::http_table_client(
+    base::address where, base::milliseconds timeout)
     : where_(std::move(where))
     , timeout_(timeout) {}
 
-net::http_response
-http_platform::call(std::string method, std::string path, std::string body) {
+net::http_response http_table_client::call(
+    std::string method, std::string path, std::string body) {
     return client_.call(
         where_, {.method = std::move(method),
                  .path = std::move(path),
@@ -73,7 +74,7 @@
                  .read_timeout = timeout_});
 }
 
-commit_result http_platform::commit(const transaction& writes) {
+commit_result http_table_client::commit(const transaction& writes) {
     nlohmann::json body{{"writes", nlohmann::json::array()}};
     for (const table_write& write : writes)
         body["writes"].push_back(to_json(write));
@@ -103,7 +104,7 @@
     return result;
 }
 
-absl::StatusOr<nlohmann::json> http_platform::get_json(std::string path) {
+absl::StatusOr<nlohmann::json> http_table_client::get_json(std::string path) {
     const auto answer = call("GET", std::move(path), {});
     if (answer.status == 404)
         return absl::NotFoundError("platform: no such thing");
@@ -115,14 +116,14 @@
     return document;
 }
 
-absl::StatusOr<table_row> http_platform::read(const std::string& key) {
+absl::StatusOr<table_row> http_table_client::read(const std::string& key) {
     auto document = get_json("/v1/tables/rows?key=" + escaped(key));
     if (!document.ok())
         return document.status();
     return row_from_json(*document);
 }
 
-absl::StatusOr<std::vector<table_row>> http_platform::scan(
+absl::StatusOr<std::vector<table_row>> http_table_client::scan(
     const std::string& prefix, const std::string& after, std::size_t limit) {
     auto document = get_json(fmt::format(
         "/v1/tables/scan?prefix={}&after={}&limit={}", escaped(prefix),
@@ -134,7 +135,7 @@
 }
 
 absl::StatusOr<std::vector<table_row>>
-scan_all(platform_client& platform, const std::string& prefix) {
+scan_all(table_client& platform, const std::string& prefix) {
     std::vector<table_row> all;
     while (true) {
         const std::string after = all.empty() ? std::string{} : all.back().key;
@@ -148,4 +149,4 @@
     }
 }
 
-} // namespace mintknot::platform
+} // namespace mintknot::table_service
--- a/libs/mintknotd/table_service/src/transaction.cpp
+++ b/libs/mintknotd/table_service/src/transaction.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-namespace mintknot::platform {
+namespace mintknot::table_service {
 
 table_write insert_if_absent(std::string key, nlohmann::json value) {
     return {table_write::action::put, std::move(key), std::move(value), 0};
@@ -18,4 +18,4 @@
     return {table_write::action::erase, std::move(key), {}, expected};
 }
 
-} // namespace mintknot::platform
+} // namespace mintknot::table_service
--- a/testing/standins/tests/test_fake_platform.cpp
+++ b/testing/standins/tests/test_fake_platform.cpp
@@ -5,7 +5,7 @@
 #include <criterion/criterion.h>
 
 using namespace mintknot;
-using end = platform::commit_result::state;
+using end = table_service::commit_result::state;
 
 namespace {
 
@@ -16,7 +16,7 @@
 
     standins::fake_platform server{{}};
     base::address where;
-    platform::http_platform client;
+    table_service::http_table_client client;
 };
 
 } // namespace
@@ -25,21 +25,21 @@
     served_platform served;
     auto& client = served.client;
     cr_assert(
-        client.commit({platform::insert_if_absent("a", 1)}).end ==
+        client.commit({table_service::insert_if_absent("a", 1)}).end ==
         end::applied);
     const auto both = client.commit(
-        {platform::insert_if_absent("b", 1),
-         platform::insert_if_absent("a", 2)});
+        {table_service::insert_if_absent("b", 1),
+         table_service::insert_if_absent("a", 2)});
     cr_assert(both.end == end::conflict);
     cr_assert_eq(both.conflicting.size(), 1U);
     cr_assert_eq(both.conflicting[0].value, 1);
     cr_assert_eq(client.read("b")->revision, 0U);
     const auto row = *client.read("a");
     cr_assert(
-        client.commit({platform::replace("a", 3, row.revision)}).end ==
+        client.commit({table_service::replace("a", 3, row.revision)}).end ==
         end::applied);
     cr_assert(
-        client.commit({platform::erase("a", row.revision)}).end ==
+        client.commit({table_service::erase("a", row.revision)}).end ==
         end::conflict);
 }
 
@@ -47,7 +47,7 @@
     served_platform served;
     served.server.set_faults({.lose_answers = 1});
     const auto result =
-        served.client.commit({platform::insert_if_absent("a", "mine")});
+        served.client.commit({table_service::insert_if_absent("a", "mine")});
     cr_assert(result.end == end::unknown);
     cr_assert_eq(served.client.read("a")->value, "mine");
 }
@@ -56,7 +56,7 @@
     served_platform served;
     served.server.set_faults({.down = true});
     cr_assert(
-        served.client.commit({platform::insert_if_absent("a", 1)}).end ==
+        served.client.commit({table_service::insert_if_absent("a", 1)}).end ==
         end::not_applied);
     cr_assert(!served.client.read("a").ok());
     served.server.set_faults({});
@@ -65,13 +65,13 @@
 
 Test(fake_platform, scans_go_page_by_page) {
     served_platform served;
-    platform::transaction writes;
+    table_service::transaction writes;
     for (int i = 0; i < 2500; ++i)
         writes.push_back(
-            platform::insert_if_absent(fmt::format("row/{:05}", i), i));
-    writes.push_back(platform::insert_if_absent("other", 0));
+            table_service::insert_if_absent(fmt::format("row/{:05}", i), i));
+    writes.push_back(table_service::insert_if_absent("other", 0));
     cr_assert(served.client.commit(writes).end == end::applied);
-    const auto rows = platform::scan_all(served.client, "row/");
+    const auto rows = table_service::scan_all(served.client, "row/");
     cr_assert(rows.ok());
     cr_assert_eq(rows->size(), 2500U);
     cr_assert_eq(rows->back().value, 2499);
