--- a/libs/mintknotd/routing/src/scheduler.cpp
+++ b/libs/mintknotd/routing/src/scheduler.cpp
@@ -282,12 +282,11 @@
         0, query, goal, now, latest_start(state, query, goal, now)};
     const bool others_first =
         !state.queue.empty() && !goes_before(wanted, state.queue.front());
-    const place_answer answer = others_first
-                                    ? queued_behind(state, query)
-                                    : try_once(state, query, goal, now);
+    place_answer answer = others_first ? queued_behind(state, query)
+                                       : try_once(state, query, goal, now);
     if (answer.end != place_answer::state::queued)
         return answer;
-    return enqueue(state, std::move(wanted), answer);
+    return enqueue(state, std::move(wanted), std::move(answer));
 }
 
 void take_progress(
