--- a/libs/mintknotd-platform/runtime/tests/test_document_sync.cpp
+++ b/libs/mintknotd-platform/runtime/tests/test_document_sync.cpp
@@ -5,7 +5,6 @@
 
 using namespace mintknot;
 using namespace mintknot::runtime;
-using namespace mintknot::runtime::tests;
 
 namespace {
 
@@ -69,7 +68,7 @@
     }
     event::loop owner;
     logging::line_log log;
-    plain_codec codec;
+    state::tests::plain_codec codec;
     full_store store;
     upstream::connection_pool pool;
     std::size_t servers = 0;
--- a/libs/mintknotd-platform/runtime/tests/test_peer_feed.cpp
+++ b/libs/mintknotd-platform/runtime/tests/test_peer_feed.cpp
@@ -8,7 +8,6 @@
 
 using namespace mintknot;
 using namespace mintknot::runtime;
-using namespace mintknot::runtime::tests;
 
 namespace {
 
@@ -33,7 +32,7 @@
         return *state::store_answer_from(answers.back().body);
     }
     event::loop owner;
-    plain_codec codec;
+    state::tests::plain_codec codec;
     logging::line_log log;
     state::replica copy;
     std::optional<std::uint64_t> position;
--- a/libs/mintknotd-platform/runtime/tests/plain_codec.hpp
+++ b/libs/mintknotd-platform/state/tests/plain_codec.hpp
@@ -1,13 +1,13 @@
 /// @file
 /// Reads any text as a document, for tests.
-#ifndef MINTKNOT_RUNTIME_TESTS_PLAIN_CODEC_HPP
-#define MINTKNOT_RUNTIME_TESTS_PLAIN_CODEC_HPP
+#ifndef MINTKNOT_STATE_TESTS_PLAIN_CODEC_HPP
+#define MINTKNOT_STATE_TESTS_PLAIN_CODEC_HPP
 
 #include <mintknot/state/replica.hpp>
 
-namespace mintknot::runtime::tests {
+namespace mintknot::state::tests {
 
-class plain_codec final : public state::document_codec {
+class plain_codec final : public document_codec {
 public:
     absl::StatusOr<traffic::configuration>
     read_configuration(std::string_view) const override {
@@ -21,6 +21,6 @@
     }
 };
 
-} // namespace mintknot::runtime::tests
+} // namespace mintknot::state::tests
 
 #endif
--- a/libs/mintknotd-platform/state/tests/test_store_reader.cpp
+++ b/libs/mintknotd-platform/state/tests/test_store_reader.cpp
@@ -1,3 +1,5 @@
+#include "plain_codec.hpp"
+
 #include <mintknot/state/store_reader.hpp>
 
 #include <criterion/criterion.h>
@@ -9,20 +11,6 @@
 
 namespace {
 
-class no_codec final : public document_codec {
-public:
-    absl::StatusOr<traffic::configuration>
-    read_configuration(std::string_view) const override {
-        return traffic::configuration{};
-    }
-    absl::StatusOr<traffic::server>
-    read_server(const std::string& id, std::string_view) const override {
-        traffic::server value;
-        value.id = id;
-        return value;
-    }
-};
-
 /// Answers with prepared answers, then never again.
 class scripted_store final : public store {
 public:
@@ -74,7 +62,7 @@
     }
     event::loop owner;
     scripted_store source;
-    no_codec codec;
+    tests::plain_codec codec;
     logging::line_log log;
     replica copy;
     store_reader reader;
