--- a/libs/mintknotd-platform/policy/include/mintknot/policy/call_charges.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/call_charges.hpp
@@ -1,10 +1,11 @@
 /// @file
 /// Which calls of a generation request cost a repeat of the allowance.
 ///
-/// The users' bound counts the calls that arrive at servers for one request:
-/// the first is free, each further one is a repeat. The prefill that is taken
-/// up by an engine does not count. A decode is paid for before its prefill is
-/// sent: else a prompt would be read whose answer may not be asked for.
+/// The bound of the settings counts the calls that arrive at servers for one
+/// request: the first is free, each further one is a repeat. The prefill that
+/// is taken up by an engine does not count. A decode is paid for before its
+/// prefill is sent: else a prompt would be read whose answer may not be asked
+/// for. Log event: `given_up` with the reason `retry_allowance_spent`.
 #ifndef MINTKNOT_POLICY_CALL_CHARGES_HPP
 #define MINTKNOT_POLICY_CALL_CHARGES_HPP
 
@@ -22,8 +23,8 @@
 /// Calls that are planned when a prefill is sent: it and the decode.
 inline constexpr int calls_with_prefill = 2;
 
-/// @return how many repeats must be prepaid before the next of so many calls
-/// may be sent.
+/// @return how many repeats must stand prepaid, those counted in that are, so
+/// that the first of so many calls may be sent.
 int repeats_to_prepay(const call_charges& charges, int calls);
 
 /// A call goes out. Precondition: repeats_to_prepay() have been prepaid.
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/return_time.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/return_time.hpp
@@ -15,9 +15,9 @@
 /// another server has been found or an attempt has ended. Not measured.
 inline constexpr base::milliseconds default_return{250};
 
-/// Told at the door, before a route is known: a stop ends or memory is freed
-/// within some of these. Not measured.
-inline constexpr base::milliseconds return_to_door{300};
+/// Told before an exchange begins (entry_check.hpp): a stop ends or memory is
+/// freed within some of these. Not measured.
+inline constexpr base::milliseconds return_after_entry_refusal{300};
 
 /// When the callers that one instance has refused for want of room come back.
 struct return_schedule {
--- a/libs/mintknotd-platform/policy/src/entry_check.cpp
+++ b/libs/mintknotd-platform/policy/src/entry_check.cpp
@@ -11,7 +11,9 @@
 constexpr int status_unavailable = 503;
 
 entry_decision refuse_for_now(std::string_view reason) {
-    return {nullptr, nullptr, status_unavailable, reason, return_to_door};
+    return {
+        nullptr, nullptr, status_unavailable, reason,
+        return_after_entry_refusal};
 }
 
 } // namespace
