--- a/libs/mintknotd-platform/policy/include/mintknot/policy/attempts.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/attempts.hpp
@@ -9,7 +9,6 @@
 
 #include <mintknot/base/time.hpp>
 #include <mintknot/base/verdict.hpp>
-#include <mintknot/policy/server_health.hpp>
 #include <mintknot/traffic/configuration.hpp>
 
 #include <string_view>
@@ -86,7 +85,8 @@
 
 /// The next step of a generation request after its decode call. What an engine
 /// rejects is placed again; a resumable stream goes on elsewhere; any other
-/// that may have run ends.
+/// that may have run ends. Precondition: the call has gone wrong. A stream that
+/// is whole needs no rule, and want of room is decided in admission.hpp.
 /// Log events: `decode_rejected`, `resumed`, `given_up`, `broken_off`.
 next_step after_decode_call(
     call_end end, const traffic::route& route, const attempts& so_far);
--- a/libs/mintknotd-platform/policy/src/attempts.cpp
+++ b/libs/mintknotd-platform/policy/src/attempts.cpp
@@ -136,8 +136,6 @@
 next_step after_decode_call(
     call_end end, const traffic::route& route, const attempts& so_far) {
     switch (end) {
-    case call_end::answered:
-        return {action::deliver, "answered"};
     case call_end::server_failure:
     case call_end::bad_answer:
         return after_decode_failure(end, route, so_far);
@@ -153,8 +151,9 @@
         return resumes("decode_broke_off", route, so_far);
     case call_end::silent:
         return after_decode_silence(route, so_far);
+    case call_end::answered:
     case call_end::no_server:
-        return {action::pause, "no_backend_server"};
+        break; // Excluded by the precondition.
     }
     return ends("unknown", so_far);
 }
