--- a/libs/mintknotd-platform/crashes/include/mintknot/crashes/crash_watch.hpp
+++ b/libs/mintknotd-platform/crashes/include/mintknot/crashes/crash_watch.hpp
@@ -50,10 +50,10 @@
 
     std::optional<base::milliseconds>
     blocked_for(const relay::request_identity& request) const override;
-    void call_broke(
+    void report_broken_call(
         const relay::request_identity& request, const std::string& server_id,
         base::milliseconds ran_for) override;
-    void answered(const relay::request_identity& request) override;
+    void report_answer(const relay::request_identity& request) override;
 
     /// The row of a server has gone, or tells of another life of it.
     void server_replaced(const std::string& server_id);
--- a/libs/mintknotd-platform/crashes/src/crash_watch.cpp
+++ b/libs/mintknotd-platform/crashes/src/crash_watch.cpp
@@ -231,7 +231,7 @@
     return policy::blocked_for(impl_->evidence, request.digest(), now);
 }
 
-void crash_watch::call_broke(
+void crash_watch::report_broken_call(
     const relay::request_identity& request, const std::string& server_id,
     base::milliseconds ran_for) {
     const traffic::server* server =
@@ -248,7 +248,7 @@
     impl_->servers.replaced(server_id);
 }
 
-void crash_watch::answered(const relay::request_identity& request) {
+void crash_watch::report_answer(const relay::request_identity& request) {
     if (policy::may_be_known(impl_->evidence, request.body_bytes()))
         impl_->clear(request.digest());
 }
--- a/libs/mintknotd-platform/crashes/tests/test_crash_watch.cpp
+++ b/libs/mintknotd-platform/crashes/tests/test_crash_watch.cpp
@@ -163,7 +163,7 @@
     traffic::server leaving = *traffic::find(f.context.state.servers, "s");
     leaving.draining = true;
     traffic::apply(f.context.state.servers, "s", 100, leaving);
-    f.watch.call_broke(identity("d"), "s", base::milliseconds(5));
+    f.watch.report_broken_call(identity("d"), "s", base::milliseconds(5));
     event::timer wait(f.owner);
     bool over = false;
     wait.start(base::milliseconds(400), [&] { over = true; });
@@ -174,7 +174,7 @@
 Test(crash_watch, a_server_started_again_at_once_is_known_by_its_row) {
     watched_router f;
     f.add_server("s", "app", plain, ok());
-    f.watch.call_broke(identity("d"), "s", base::milliseconds(5));
+    f.watch.report_broken_call(identity("d"), "s", base::milliseconds(5));
     event::timer wait(f.owner);
     bool over = false;
     wait.start(base::milliseconds(300), [&] { over = true; });
@@ -188,7 +188,7 @@
 Test(crash_watch, judges_hear_what_ran_and_everybody_of_a_block) {
     watched_router f;
     f.add_dead_server("s", "app");
-    f.watch.call_broke(identity("d"), "s", base::milliseconds(5));
+    f.watch.report_broken_call(identity("d"), "s", base::milliseconds(5));
     f.run_until([&] { return f.watch.servers_ended() == 1; });
     cr_assert(f.sent_to<crash_report>("judge")->server_life == "s/0");
     cr_assert(!f.sent_to<crash_report>("peer"));
@@ -221,7 +221,7 @@
     const std::string news =
         encode(block_notice{{{{"d", 2}, base::milliseconds(60000), 1}}});
     f.watch.receive("judge", news);
-    f.watch.answered(identity("d"));
+    f.watch.report_answer(identity("d"));
     cr_assert(f.watch.blocked() == 0);
     for (const char* host : {"judge", "peer", "follower"})
         cr_assert(f.sent_to<clear_notice>(host)->digest == "d");
--- a/libs/mintknotd-platform/limits/include/mintknot/limits/usage_accounts.hpp
+++ b/libs/mintknotd-platform/limits/include/mintknot/limits/usage_accounts.hpp
@@ -60,10 +60,10 @@
     usage_accounts(const usage_accounts&) = delete;
     usage_accounts& operator=(const usage_accounts&) = delete;
 
-    std::unique_ptr<relay::usage_ticket>
-    ask(const traffic::organisation& who, double cost,
+    std::unique_ptr<relay::usage_ticket> request_grant(
+        const traffic::organisation& who, double cost,
         relay::usage_handler then) override;
-    void give_back(
+    void refund(
         const std::string& organisation,
         const relay::usage_grant& unused) override;
 
--- a/libs/mintknotd-platform/limits/src/usage_accounts.cpp
+++ b/libs/mintknotd-platform/limits/src/usage_accounts.cpp
@@ -194,7 +194,7 @@
                 .value_or(policy::draw_result{true, base::milliseconds{0}});
         relay::usage_grant told;
         told.granted = drawn.granted;
-        told.come_back = drawn.come_back;
+        told.retry_after = drawn.come_back;
         finish(number, ports.own_host, number, std::move(told));
     }
 
@@ -284,7 +284,7 @@
         }
         relay::usage_grant told;
         told.granted = answer.verdict == usage_verdict::granted;
-        told.come_back = answer.come_back;
+        told.retry_after = answer.come_back;
         finish(question.waiting, host, answer.number, std::move(told));
     }
 
@@ -322,14 +322,14 @@
 
 usage_accounts::~usage_accounts() = default;
 
-std::unique_ptr<relay::usage_ticket> usage_accounts::ask(
+std::unique_ptr<relay::usage_ticket> usage_accounts::request_grant(
     const traffic::organisation& who, double cost, relay::usage_handler then) {
     const std::uint64_t number = impl_->begin(who, cost, std::move(then));
-    return std::make_unique<relay::withdrawing_ticket>(
+    return std::make_unique<relay::cancelling_ticket>(
         impl_->life, [this, number] { impl_->waiting.erase(number); });
 }
 
-void usage_accounts::give_back(
+void usage_accounts::refund(
     const std::string& organisation, const relay::usage_grant& unused) {
     impl_->give_back(
         unused.keeper, {unused.number, organisation, unused.cost,
--- a/libs/mintknotd-platform/limits/tests/test_usage_accounts.cpp
+++ b/libs/mintknotd-platform/limits/tests/test_usage_accounts.cpp
@@ -72,7 +72,7 @@
     /// Asks, and waits for the answer.
     relay::usage_grant ask(const std::string& host, double cost) {
         std::optional<relay::usage_grant> told;
-        const auto ticket = members.at(host)->ask(
+        const auto ticket = members.at(host)->request_grant(
             who(), cost,
             [&](const relay::usage_grant& grant) { told = grant; });
         cr_assert(!told, "answered from within");
@@ -106,7 +106,7 @@
     const relay::usage_grant first = g.ask("h0", 300.0);
     cr_assert(first.granted);
     cr_assert(!g.ask("h1", 300.0).granted);
-    g.members.at("h0")->give_back("o", first);
+    g.members.at("h0")->refund("o", first);
     g.f.run_until([&, turns = 0]() mutable { return ++turns > 3; });
     cr_assert(g.ask("h2", 300.0).granted);
 }
@@ -144,10 +144,9 @@
     g.ask("h1", 1.0);
     const std::string keeper = g.asked.front();
     const std::string asker = keeper == "h0" ? "h1" : "h0";
-    auto ticket =
-        g.members.at(asker)->ask(g.who(), 150.0, [](const relay::usage_grant&) {
-            cr_assert(false, "withdrawn");
-        });
+    auto ticket = g.members.at(asker)->request_grant(
+        g.who(), 150.0,
+        [](const relay::usage_grant&) { cr_assert(false, "withdrawn"); });
     // The question goes out, then its request ends.
     g.f.owner.post([&] { ticket.reset(); });
     g.f.run_until([&, turns = 0]() mutable { return ++turns > 5; });
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/crash_guard.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/crash_guard.hpp
@@ -18,14 +18,15 @@
 class request_identity {
 public:
     /// @param make called once at most, see request_digest().
-    request_identity(std::size_t body_bytes, std::function<std::string()> make);
+    request_identity(
+        std::size_t body_bytes, std::function<std::string()> compute_digest);
 
     std::size_t body_bytes() const noexcept { return body_bytes_; }
     const std::string& digest() const;
 
 private:
     std::size_t body_bytes_;
-    std::function<std::string()> make_;
+    std::function<std::string()> compute_digest_;
     mutable std::string digest_;
 };
 
@@ -40,12 +41,12 @@
 
     /// A call to a server has ended before its answer did: the server may have
     /// crashed, or only the connection is lost. @param ran_for since the send.
-    virtual void call_broke(
+    virtual void report_broken_call(
         const request_identity& request, const std::string& server_id,
         base::milliseconds ran_for) = 0;
 
     /// A server has run the request and its answer is whole.
-    virtual void answered(const request_identity& request) = 0;
+    virtual void report_answer(const request_identity& request) = 0;
 };
 
 } // namespace mintknot::relay
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/exchange.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/exchange.hpp
@@ -34,14 +34,14 @@
     virtual ~answer_sink() = default;
 
     /// Sends an answer that is complete.
-    virtual void whole(http1::response_head head, std::string body) = 0;
+    virtual void send_complete(http1::response_head head, std::string body) = 0;
     /// Sends a head; data() and end() follow. The framing is chosen here,
     /// unless the head says framing::close.
     virtual void begin(http1::response_head head) = 0;
     virtual void data(std::string_view bytes) = 0;
     virtual void end() = 0;
     /// Ends an answer so that it cannot be taken for a complete one.
-    virtual void break_off() = 0;
+    virtual void abort() = 0;
     /// @return true if the caller reads too slowly; drained() follows.
     virtual bool congested() const = 0;
 };
@@ -57,9 +57,9 @@
     /// sink may be called from within.
     void start();
     /// The caller's connection has ended.
-    void caller_left();
+    void on_caller_disconnected();
     /// The sink is no longer congested.
-    virtual void drained() = 0;
+    virtual void on_sink_writable() = 0;
 
 protected:
     exchange(
@@ -76,48 +76,48 @@
     base::milliseconds time_left() const;
     base::milliseconds since_arrival() const;
     /// Raises the verdict; it is never lowered.
-    void raise(base::verdict seen);
+    void raise_verdict(base::verdict seen);
 
     /// Ends the exchange with an answer of the router's own. The status
     /// follows from the verdict: only `not_run` promises that it has not run.
     void give_up(std::string_view reason);
     /// The same with the time after which a caller may come back.
-    void give_up(std::string_view reason, base::milliseconds come_back);
+    void give_up(std::string_view reason, base::milliseconds retry_after);
     /// Ends the exchange with an answer of the router's own with that status,
     /// which promises that the request has not run.
     void refuse(
         int status, std::string_view reason,
-        std::optional<base::milliseconds> come_back);
+        std::optional<base::milliseconds> retry_after);
     /// Looks again, before each send, whether the request may go to a server:
     /// the caller's key may have been taken away while the request waited, or
     /// the request been blocked. @return false if it may not; the exchange has
     /// ended then.
-    bool still_allowed();
+    bool ensure_allowed();
     /// @return the priority of the organisation, or else of the route.
     int priority() const;
     /// Ends the exchange with a server's answer.
-    void answer_whole(http1::response_head head, std::string body);
-    void note_first_byte();
+    void deliver_answer(http1::response_head head, std::string body);
+    void record_first_byte();
     /// A call of the request goes out to a server.
-    void note_offer();
+    void record_send();
     /// @return whether the caller has been refused before, by its deadline.
-    bool returned() const;
+    bool is_caller_retry() const;
     void end_answer(std::string_view outcome);
-    void break_answer(std::string_view reason);
+    void abort_answer(std::string_view reason);
     /// Ends the exchange as a step says. @param what give_up or break_off.
-    void end_by(policy::action what, std::string_view reason);
+    void end_with_action(policy::action what, std::string_view reason);
 
     /// A call to a server has ended before its answer did.
-    void note_broken_call(
+    void record_broken_call(
         const std::string& server_id, base::steady_time sent) const;
     /// A server has run the request and its answer is whole.
-    void note_whole_answer() const;
+    void record_complete_answer() const;
 
     /// @return true if an answer is this request's own: a surplus answer to an
     /// earlier one may come first. A rejection may lack the ID.
-    bool belongs(const http1::response_head& head) const;
+    bool is_answer_to_request(const http1::response_head& head) const;
 
-    std::string organisation_name() const; ///< Empty: nobody's.
+    std::string organisation_name() const; ///< Empty if none.
     call_terms terms_for(const traffic::server& server) const;
     upstream::call_request call_for(const call_terms& terms) const;
 
@@ -130,18 +130,21 @@
     base::verdict verdict_ = base::verdict::not_run;
     policy::attempts attempts_;
     bool finished_ = false;
-    int sends_ = 0; ///< Calls that may have reached a server.
+    int sends_ = 0; ///< Number of calls that may have reached a server.
 
 private:
-    bool key_still_good();
-    /// @return false if the request is blocked; the exchange has ended then.
-    bool not_blocked();
+    /// Checks that the key still belongs to the same organisation, unless the
+    /// request may have run already.
+    /// @return false if it does not; the exchange has then ended.
+    bool ensure_key_valid();
+    /// @return false if the request is blocked; the exchange has then ended.
+    bool ensure_not_blocked();
     void on_deadline();
-    void ask_for_usage();
-    void on_usage(const usage_grant& told);
+    void request_usage();
+    void on_usage_grant(const usage_grant& grant);
     /// Returns what was granted to a request that has not run.
     void return_usage();
-    void end_with(
+    void send_router_answer(
         int status, std::string_view reason,
         std::optional<base::milliseconds> retry_after);
     void finish(std::string_view outcome);
@@ -153,7 +156,7 @@
     usage_grant usage_;
     base::milliseconds first_byte_{0};
     /// From the arrival to the first call.
-    std::optional<base::milliseconds> first_offer_;
+    std::optional<base::milliseconds> first_send_;
 };
 
 /// @return an exchange for a request of the route.
@@ -163,7 +166,7 @@
     const traffic::route& route, const traffic::service& service);
 
 /// @return the answer to a request that no exchange was made for.
-std::string refusal_text(
+std::string serialize_refusal(
     const router_context& context, int status, const std::string& request_id,
     std::string_view reason, std::optional<base::milliseconds> retry_after,
     bool keep_alive);
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/placer.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/placer.hpp
@@ -26,8 +26,8 @@
 
     /// Asks for servers. `then` is called once, not from within and not after
     /// the ticket has gone; an empty placement says that there is no room.
-    virtual std::unique_ptr<placement_ticket>
-    ask(policy::placement_query query, placement_handler then) = 0;
+    virtual std::unique_ptr<placement_ticket> request_placement(
+        policy::placement_query query, placement_handler then) = 0;
 };
 
 } // namespace mintknot::relay
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/release_queue.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/release_queue.hpp
@@ -26,8 +26,9 @@
 
     upstream::connection_pool& pool_;
     const dialect& protocol_;
-    std::uint64_t last_ = 0;
-    std::unordered_map<std::uint64_t, std::unique_ptr<upstream::call>> open_;
+    std::uint64_t last_number_ = 0;
+    std::unordered_map<std::uint64_t, std::unique_ptr<upstream::call>>
+        in_flight_;
 };
 
 } // namespace mintknot::relay
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/ticket.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/ticket.hpp
@@ -16,23 +16,23 @@
 };
 
 /// Calls a function when it goes, unless whoever was asked has gone before.
-class withdrawing_ticket final : public ticket {
+class cancelling_ticket final : public ticket {
 public:
     /// @param alive lives as long as whoever was asked.
-    withdrawing_ticket(
-        std::weak_ptr<const void> alive, std::function<void()> withdraw)
+    cancelling_ticket(
+        std::weak_ptr<const void> alive, std::function<void()> cancel)
         : alive_(std::move(alive))
-        , withdraw_(std::move(withdraw)) {}
-    ~withdrawing_ticket() override {
+        , cancel_(std::move(cancel)) {}
+    ~cancelling_ticket() override {
         if (!alive_.expired())
-            withdraw_();
+            cancel_();
     }
-    withdrawing_ticket(const withdrawing_ticket&) = delete;
-    withdrawing_ticket& operator=(const withdrawing_ticket&) = delete;
+    cancelling_ticket(const cancelling_ticket&) = delete;
+    cancelling_ticket& operator=(const cancelling_ticket&) = delete;
 
 private:
     std::weak_ptr<const void> alive_;
-    std::function<void()> withdraw_;
+    std::function<void()> cancel_;
 };
 
 } // namespace mintknot::relay
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/usage_limiter.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/usage_limiter.hpp
@@ -17,8 +17,8 @@
 /// A part of an organisation's limit that one request may use.
 struct usage_grant {
     bool granted = false;
-    base::milliseconds come_back{0}; ///< Unless granted.
-    double cost = 0.0;               ///< In the limit's unit.
+    base::milliseconds retry_after{0}; ///< Set unless granted.
+    double cost = 0.0;                 ///< In the unit of the limit.
     /// Which account it was drawn from, for the way back: the host that keeps
     /// it, the kind of account and the number of the question.
     std::string keeper;
@@ -38,12 +38,12 @@
 
     /// Asks for a grant. `then` is called once, not from within and not after
     /// the ticket has gone.
-    virtual std::unique_ptr<usage_ticket>
-    ask(const traffic::organisation& who, double cost, usage_handler then) = 0;
+    virtual std::unique_ptr<usage_ticket> request_grant(
+        const traffic::organisation& who, double cost, usage_handler then) = 0;
 
     /// Gives back what a request has not used: it has not run.
     virtual void
-    give_back(const std::string& organisation, const usage_grant& unused) = 0;
+    refund(const std::string& organisation, const usage_grant& unused) = 0;
 };
 
 } // namespace mintknot::relay
--- a/libs/mintknotd-platform/relay/src/caller_session.cpp
+++ b/libs/mintknotd-platform/relay/src/caller_session.cpp
@@ -37,7 +37,7 @@
          [self = shared_from_this()](event::connection_end) { self->on_end(); },
          [self = shared_from_this()] {
              if (self->exchange_ != nullptr)
-                 self->exchange_->drained();
+                 self->exchange_->on_sink_writable();
          }});
 }
 
@@ -154,7 +154,7 @@
                     {"caller", base::to_string(link_->peer())}});
     context_.metrics.count_request({"", std::string(reason), {}, {}});
     link_->write(
-        refusal_text(context_, status, id, reason, retry_after, false));
+        serialize_refusal(context_, status, id, reason, retry_after, false));
     close();
 }
 
@@ -218,7 +218,7 @@
                     {"status", std::int64_t{decision.status}},
                     {"target", request.head.target}});
     context_.metrics.count_request({"", std::string(decision.reason), {}, {}});
-    link_->write(refusal_text(
+    link_->write(serialize_refusal(
         context_, decision.status, request.terms.id, decision.reason,
         decision.retry_after, keep_alive()));
     answer_done();
@@ -258,7 +258,7 @@
     link_->abort();
     context_.loop.post([self = shared_from_this()] {
         if (self->exchange_ != nullptr)
-            self->exchange_->caller_left();
+            self->exchange_->on_caller_disconnected();
         self->exchange_.reset();
         self->on_end_(self.get());
     });
--- a/libs/mintknotd-platform/relay/src/caller_session.hpp
+++ b/libs/mintknotd-platform/relay/src/caller_session.hpp
@@ -33,11 +33,11 @@
     base::steady_time idle_since() const noexcept { return idle_since_; }
     void close();
 
-    void whole(http1::response_head head, std::string body) override;
+    void send_complete(http1::response_head head, std::string body) override;
     void begin(http1::response_head head) override;
     void data(std::string_view bytes) override;
     void end() override;
-    void break_off() override;
+    void abort() override;
     bool congested() const override;
 
 private:
--- a/libs/mintknotd-platform/relay/src/caller_session_answer.cpp
+++ b/libs/mintknotd-platform/relay/src/caller_session_answer.cpp
@@ -14,7 +14,8 @@
 
 } // namespace
 
-void caller_session::whole(http1::response_head head, std::string body) {
+void caller_session::send_complete(
+    http1::response_head head, std::string body) {
     const bool until_close = head.body == http1::framing::close;
     head.length = body.size();
     head.keep_alive = keep_alive() && !until_close;
@@ -52,7 +53,7 @@
     answer_done();
 }
 
-void caller_session::break_off() {
+void caller_session::abort() {
     if (closed_)
         return;
     closed_ = true;
--- a/libs/mintknotd-platform/relay/src/exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/exchange.cpp
@@ -73,47 +73,47 @@
         policy::note_deadline(
             context_.state.deadlines[route_.name], *request_.terms.deadline,
             context_.loop.now());
-    if (!not_blocked())
+    if (!ensure_not_blocked())
         return;
     deadline_timer_.start(deadline_, [this] { on_deadline(); });
     const traffic::organisation* who = request_.organisation;
     if (who != nullptr && who->limit.limited() && context_.limits != nullptr)
-        ask_for_usage();
+        request_usage();
     else
         run();
 }
 
-void exchange::ask_for_usage() {
+void exchange::request_usage() {
     const request_terms& terms = request_.terms;
     const double tokens = terms.prompt_tokens + terms.max_output_tokens;
     const double cost = policy::usage_cost(
         request_.organisation->limit,
         terms.tells_tokens ? std::optional(tokens) : std::nullopt);
-    usage_ticket_ = context_.limits->ask(
+    usage_ticket_ = context_.limits->request_grant(
         *request_.organisation, cost,
-        [this](const usage_grant& told) { on_usage(told); });
+        [this](const usage_grant& grant) { on_usage_grant(grant); });
 }
 
-void exchange::on_usage(const usage_grant& told) {
-    usage_ = told;
-    if (told.granted)
+void exchange::on_usage_grant(const usage_grant& grant) {
+    usage_ = grant;
+    if (grant.granted)
         run();
     else
-        refuse(status_too_many_requests, "over_limit", told.come_back);
+        refuse(status_too_many_requests, "over_limit", grant.retry_after);
 }
 
 void exchange::return_usage() {
     usage_ticket_.reset();
     if (usage_.granted && verdict_ == base::verdict::not_run)
-        context_.limits->give_back(request_.organisation->name, usage_);
+        context_.limits->refund(request_.organisation->name, usage_);
     usage_.granted = false;
 }
 
-bool exchange::still_allowed() {
-    return key_still_good() && not_blocked();
+bool exchange::ensure_allowed() {
+    return ensure_key_valid() && ensure_not_blocked();
 }
 
-bool exchange::not_blocked() {
+bool exchange::ensure_not_blocked() {
     if (context_.crashes == nullptr)
         return true;
     const auto left = context_.crashes->blocked_for(identity_);
@@ -121,20 +121,20 @@
         return true;
     cancel_calls();
     if (attempts_.answer_begun)
-        break_answer(crashes_servers);
+        abort_answer(crashes_servers);
     else
         give_up(crashes_servers, *left);
     return false;
 }
 
-bool exchange::key_still_good() {
-    const bool begun =
+bool exchange::ensure_key_valid() {
+    const bool may_have_run =
         verdict_ != base::verdict::not_run || attempts_.answer_begun;
-    if (begun || request_.organisation == nullptr)
+    if (may_have_run || request_.organisation == nullptr)
         return true;
-    const traffic::configuration& now = *context_.state.config;
+    const traffic::configuration& current = *context_.state.config;
     const policy::access_decision found = policy::check_access(
-        now.organisations.get(), route_.open_to_all, request_.terms.key,
+        current.organisations.get(), route_.open_to_all, request_.terms.key,
         knowledge_of(context_));
     if (found.what == policy::access_verdict::old_knowledge) {
         refuse(
@@ -144,7 +144,7 @@
     }
     const bool same = found.organisation != nullptr &&
                       found.organisation->name == request_.organisation->name;
-    if (same || route_.open_to_all || now.organisations == nullptr)
+    if (same || route_.open_to_all || current.organisations == nullptr)
         return true;
     refuse(status_unauthorized, "unknown_key", std::nullopt);
     return false;
@@ -156,7 +156,7 @@
                           : who->priority.value_or(route_.priority);
 }
 
-void exchange::caller_left() {
+void exchange::on_caller_disconnected() {
     if (finished_)
         return;
     cancel_calls();
@@ -165,10 +165,10 @@
 
 void exchange::on_deadline() {
     if (may_be_running())
-        raise(base::verdict::may_have_run);
+        raise_verdict(base::verdict::may_have_run);
     cancel_calls();
     if (attempts_.answer_begun)
-        break_answer("deadline_passed");
+        abort_answer("deadline_passed");
     else
         give_up("deadline_passed");
 }
@@ -182,7 +182,7 @@
         context_.loop.now() - request_.arrived);
 }
 
-void exchange::raise(base::verdict seen) {
+void exchange::raise_verdict(base::verdict seen) {
     verdict_ = base::raised(verdict_, seen);
 }
 
@@ -190,33 +190,34 @@
     give_up(reason, policy::default_return);
 }
 
-void exchange::give_up(std::string_view reason, base::milliseconds come_back) {
+void exchange::give_up(
+    std::string_view reason, base::milliseconds retry_after) {
     if (finished_)
         return;
     const bool out_of_time = time_left() <= base::milliseconds{0};
     const int status = status_of(verdict_, out_of_time);
-    std::optional<base::milliseconds> retry_after;
+    std::optional<base::milliseconds> retry_after_field;
     if (verdict_ == base::verdict::not_run)
-        retry_after = come_back;
-    end_with(status, reason, retry_after);
+        retry_after_field = retry_after;
+    send_router_answer(status, reason, retry_after_field);
 }
 
 void exchange::refuse(
     int status, std::string_view reason,
-    std::optional<base::milliseconds> come_back) {
+    std::optional<base::milliseconds> retry_after) {
     if (finished_)
         return;
     cancel_calls();
-    end_with(status, reason, come_back);
+    send_router_answer(status, reason, retry_after);
 }
 
-void exchange::end_with(
+void exchange::send_router_answer(
     int status, std::string_view reason,
     std::optional<base::milliseconds> retry_after) {
     http1::response_head head;
     head.status = status;
     head.fields = context_.protocol.own_answer(request_.terms.id, retry_after);
-    note_first_byte();
+    record_first_byte();
     context_.log.write(
         "given_up",
         {{"request", request_.terms.id},
@@ -230,31 +231,31 @@
          {"config", static_cast<std::int64_t>(config_->version)},
          {"after_ms", since_arrival().count()}});
     finish(reason);
-    sink_.whole(std::move(head), std::string(reason) + "\n");
+    sink_.send_complete(std::move(head), std::string(reason) + "\n");
 }
 
-void exchange::answer_whole(http1::response_head head, std::string body) {
+void exchange::deliver_answer(http1::response_head head, std::string body) {
     if (finished_)
         return;
-    note_first_byte();
+    record_first_byte();
     http1::erase_hop_fields(head.fields);
     finish(head.status < 400 ? "answered" : "server_failure");
-    sink_.whole(std::move(head), std::move(body));
+    sink_.send_complete(std::move(head), std::move(body));
 }
 
-void exchange::note_first_byte() {
+void exchange::record_first_byte() {
     if (first_byte_ == base::milliseconds{0})
         first_byte_ = since_arrival();
 }
 
-void exchange::note_offer() {
-    if (!first_offer_)
-        first_offer_ = since_arrival();
+void exchange::record_send() {
+    if (!first_send_)
+        first_send_ = since_arrival();
     if (const auto age = servers_age(context_))
         context_.metrics.observe_servers_age(*age);
 }
 
-bool exchange::returned() const {
+bool exchange::is_caller_retry() const {
     const auto found = context_.state.deadlines.find(route_.name);
     return found != context_.state.deadlines.end() &&
            policy::has_returned(found->second, request_.terms.deadline);
@@ -267,7 +268,7 @@
     sink_.end();
 }
 
-void exchange::break_answer(std::string_view reason) {
+void exchange::abort_answer(std::string_view reason) {
     if (finished_)
         return;
     context_.log.write(
@@ -277,12 +278,12 @@
                        {"sends", std::int64_t{sends_}},
                        {"after_ms", since_arrival().count()}});
     finish(reason);
-    sink_.break_off();
+    sink_.abort();
 }
 
-void exchange::end_by(policy::action what, std::string_view reason) {
+void exchange::end_with_action(policy::action what, std::string_view reason) {
     if (what == policy::action::break_off)
-        break_answer(reason);
+        abort_answer(reason);
     else
         give_up(reason);
 }
@@ -299,14 +300,14 @@
          {"route", route_.name},
          {"outcome", outcome},
          {"sends", std::int64_t{sends_}},
-         {"returned", returned()},
+         {"returned", is_caller_retry()},
          {"target_ms", route_.target_latency.count()},
-         {"waited_ms", first_offer_.value_or(since_arrival()).count()},
+         {"waited_ms", first_send_.value_or(since_arrival()).count()},
          {"first_byte_ms", first_byte_.count()},
          {"total_ms", since_arrival().count()}});
 }
 
-void exchange::note_broken_call(
+void exchange::record_broken_call(
     const std::string& server_id, base::steady_time sent) const {
     const auto ran_for = std::chrono::duration_cast<base::milliseconds>(
         context_.loop.now() - sent);
@@ -316,15 +317,15 @@
                        {"server", server_id},
                        {"after_ms", ran_for.count()}});
     if (context_.crashes != nullptr)
-        context_.crashes->call_broke(identity_, server_id, ran_for);
+        context_.crashes->report_broken_call(identity_, server_id, ran_for);
 }
 
-void exchange::note_whole_answer() const {
+void exchange::record_complete_answer() const {
     if (context_.crashes != nullptr)
-        context_.crashes->answered(identity_);
+        context_.crashes->report_answer(identity_);
 }
 
-bool exchange::belongs(const http1::response_head& head) const {
+bool exchange::is_answer_to_request(const http1::response_head& head) const {
     const answer_terms terms = context_.protocol.read_answer(head);
     return terms.request_id == request_.terms.id ||
            (terms.request_id.empty() && terms.not_executed);
@@ -359,7 +360,7 @@
         context, sink, std::move(request), config, route, service);
 }
 
-std::string refusal_text(
+std::string serialize_refusal(
     const router_context& context, int status, const std::string& request_id,
     std::string_view reason, std::optional<base::milliseconds> retry_after,
     bool keep_alive) {
--- a/libs/mintknotd-platform/relay/src/generation_decode.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_decode.cpp
@@ -25,7 +25,7 @@
         place();
         return;
     }
-    if (name_has_lapsed()) {
+    if (placement_expired()) {
         context_.log.write(
             "named_again", {{"request", request_.terms.id},
                             {"server", decode_.server},
@@ -34,31 +34,31 @@
         place();
         return;
     }
-    if (!still_allowed())
+    if (!ensure_allowed())
         return;
     if (!prepay(policy::repeats_to_prepay(charges_, 1))) {
-        take(policy::without_allowance(
+        apply_step(policy::without_allowance(
             attempts_, policy::is_large(context_.state.instances)));
         return;
     }
     decode_.used_result = result_usable();
     decode_.tried.insert(decode_.server);
-    decode_.started = context_.loop.now();
+    decode_.started_at = context_.loop.now();
     decode_.streaming = false;
     decode_.splitter = {};
     decode_.failure_body.clear();
     ++sends_;
     ++attempts_.runs;
     policy::note_sent(charges_);
-    note_offer();
+    record_send();
     log_decode();
     send_decode(*engine);
     watch_silence();
 }
 
-bool generation_exchange::name_has_lapsed() const {
+bool generation_exchange::placement_expired() const {
     return context_.state.servers.partial &&
-           context_.loop.now() - decode_.placed >
+           context_.loop.now() - decode_.placed_at >
                context_.options.named_server_life;
 }
 
@@ -80,10 +80,12 @@
     call_terms terms = terms_for(engine);
     terms.resume_after = last_event_;
     if (decode_.used_result)
-        terms.prefill_result = kept_.place;
+        terms.prefill_result = kept_.location;
     decode_.call = upstream::call::start(
         context_.pool, {engine.id, engine.where}, call_for(terms), {},
-        {[this](const http1::response_head& head) { return belongs(head); },
+        {[this](const http1::response_head& head) {
+             return is_answer_to_request(head);
+         },
          [this](http1::response_head& head) { on_decode_head(head); },
          [this](std::string_view piece) { on_decode_body(piece); },
          [this] { on_decode_done(); },
@@ -106,7 +108,7 @@
         return;
     // The engine has taken the result over.
     kept_ = {};
-    raise(base::verdict::ran);
+    raise_verdict(base::verdict::ran);
 }
 
 void generation_exchange::on_decode_body(std::string_view piece) {
@@ -116,10 +118,10 @@
         return;
     }
     watch_silence();
-    pass_on(traffic::push(decode_.splitter, piece));
+    forward_events(traffic::push(decode_.splitter, piece));
 }
 
-void generation_exchange::pass_on(const std::string& events) {
+void generation_exchange::forward_events(const std::string& events) {
     if (events.empty())
         return;
     if (const auto id = traffic::last_event_id(events))
@@ -135,25 +137,25 @@
 
 void generation_exchange::send_head() {
     attempts_.answer_begun = true;
-    note_first_byte();
-    note_pace_of_start();
+    record_first_byte();
+    record_start_times();
     http1::response_head head = decode_.answer;
     http1::erase_hop_fields(head.fields);
     sink_.begin(std::move(head));
 }
 
-void generation_exchange::note_pace_of_start() {
+void generation_exchange::record_start_times() {
     const base::steady_time now = context_.loop.now();
-    const auto since = [now](base::steady_time when) {
-        return std::chrono::duration_cast<base::milliseconds>(now - when);
+    const auto since = [now](base::steady_time from) {
+        return std::chrono::duration_cast<base::milliseconds>(now - from);
     };
     policy::phase_demand& demand = context_.state.demands[service_.name];
-    policy::note_start(demand, since(decode_.placed));
+    policy::note_start(demand, since(decode_.placed_at));
     if (decode_.used_result)
-        policy::note_hand_over(demand, since(decode_.started));
+        policy::note_hand_over(demand, since(decode_.started_at));
 }
 
-void generation_exchange::drained() {
+void generation_exchange::on_sink_writable() {
     if (decode_.call == nullptr)
         return;
     decode_.call->resume();
@@ -172,38 +174,39 @@
         after_rejected_decode();
         return;
     }
-    raise(base::verdict::ran);
-    const bool bad =
+    raise_verdict(base::verdict::ran);
+    const bool unusable =
         is_success(decode_.answer.status) || decode_.terms.has_content_coding;
     after_decode(
-        bad ? policy::call_end::bad_answer : policy::call_end::server_failure,
+        unusable ? policy::call_end::bad_answer
+                 : policy::call_end::server_failure,
         policy::call_result::failed);
 }
 
 void generation_exchange::finish_stream() {
     // Whatever follows the last event belongs to the body all the same.
-    pass_on(decode_.splitter.rest);
+    forward_events(decode_.splitter.rest);
     decode_.splitter.rest.clear();
     note_result(
         context_, decode_.server, policy::call_result::good, request_.terms.id);
-    note_whole_answer();
-    note_demand();
+    record_complete_answer();
+    record_demand();
     decode_.call.reset();
     release_decode();
     if (attempts_.answer_begun)
         end_answer("answered");
     else
-        answer_whole(std::move(decode_.answer), {});
+        deliver_answer(std::move(decode_.answer), {});
 }
 
-void generation_exchange::note_demand() {
+void generation_exchange::record_demand() {
     const auto memory = static_cast<double>(service_.engine->memory_tokens);
     if (memory <= 0.0)
         return;
     policy::note_decode(
         context_.state.demands[service_.name], decode_.reserved_tokens / memory,
         std::chrono::duration_cast<base::milliseconds>(
-            context_.loop.now() - decode_.started));
+            context_.loop.now() - decode_.started_at));
 }
 
 } // namespace mintknot::relay
--- a/libs/mintknotd-platform/relay/src/generation_decode_end.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_decode_end.cpp
@@ -29,9 +29,9 @@
     if (step.what == policy::action::send_again) {
         context_.metrics.count_repeat(step.reason);
         if (policy::distrusts_result(attempts_))
-            drop_result();
+            release_result();
     }
-    take(step);
+    apply_step(step);
 }
 
 void generation_exchange::log_rejection() const {
@@ -57,8 +57,8 @@
             policy::call_end::unreachable, policy::call_result::unreachable);
         return;
     }
-    raise(base::verdict::may_have_run);
-    note_broken_call(decode_.server, decode_.started);
+    raise_verdict(base::verdict::may_have_run);
+    record_broken_call(decode_.server, decode_.started_at);
     after_decode(policy::call_end::broken_off, policy::call_result::failed);
 }
 
@@ -73,7 +73,7 @@
             request_.terms.id);
         return;
     }
-    raise(base::verdict::may_have_run);
+    raise_verdict(base::verdict::may_have_run);
     // The engine drops the request when its connection closes.
     decode_.call.reset();
     after_decode(policy::call_end::silent, policy::call_result::silent);
@@ -83,13 +83,13 @@
     policy::call_end end, policy::call_result result) {
     note_result(context_, decode_.server, result, request_.terms.id);
     release_decode();
-    take(policy::after_decode_call(end, route_, attempts_));
+    apply_step(policy::after_decode_call(end, route_, attempts_));
 }
 
-void generation_exchange::take(const policy::next_step& step) {
+void generation_exchange::apply_step(const policy::next_step& step) {
     switch (step.what) {
     case policy::action::deliver:
-        answer_whole(
+        deliver_answer(
             std::move(decode_.answer), std::move(decode_.failure_body));
         return;
     case policy::action::send_again:
@@ -109,7 +109,7 @@
         return;
     case policy::action::give_up:
     case policy::action::break_off:
-        end_by(step.what, step.reason);
+        end_with_action(step.what, step.reason);
         return;
     }
 }
--- a/libs/mintknotd-platform/relay/src/generation_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_exchange.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// In a log line: no room was to be foreseen.
-constexpr base::milliseconds not_foreseen{-1};
+constexpr base::milliseconds unknown_wait{-1};
 
 } // namespace
 
@@ -40,7 +40,7 @@
     end_prefill();
     decode_.call.reset();
     release_decode();
-    drop_result();
+    release_result();
 }
 
 bool generation_exchange::may_be_running() const {
@@ -55,25 +55,25 @@
 }
 
 bool generation_exchange::result_usable() const {
-    return !kept_.server.empty() && context_.loop.now() < kept_.until;
+    return !kept_.server.empty() && context_.loop.now() < kept_.expires_at;
 }
 
 policy::placement_query generation_exchange::query() const {
-    const bool reads_apart =
+    const bool needs_prefill =
         policy::reads_prompt_apart(attempts_, result_usable());
-    policy::placement_query wanted;
-    wanted.service = service_.name;
-    wanted.kind = reads_apart ? policy::placement_kind::prefill_and_decode
-                              : policy::placement_kind::decode;
-    wanted.prompt_tokens = request_.terms.prompt_tokens;
-    wanted.memory_tokens = memory_needed();
-    wanted.read_limit = policy::prefill_time_limit(
+    policy::placement_query needs;
+    needs.service = service_.name;
+    needs.kind = needs_prefill ? policy::placement_kind::prefill_and_decode
+                               : policy::placement_kind::decode;
+    needs.prompt_tokens = request_.terms.prompt_tokens;
+    needs.memory_tokens = memory_needed();
+    needs.read_limit = policy::prefill_time_limit(
         route_.target_latency, since_arrival(),
         policy::mean_hand_over(context_.state.demands[service_.name]));
-    wanted.may_return = policy::may_return_to_engine(attempts_);
-    wanted.excluded = decode_.tried;
-    wanted.excluded_prefill = prefill_.tried;
-    return wanted;
+    needs.may_return = policy::may_return_to_engine(attempts_);
+    needs.excluded = decode_.tried;
+    needs.excluded_prefill = prefill_.tried;
+    return needs;
 }
 
 void generation_exchange::place() {
@@ -92,19 +92,19 @@
         // another one shortly.
         if (!placed.server.empty())
             seen.forecast.wait = base::milliseconds{0};
-        wait_for_room(seen);
+        wait_for_capacity(seen);
         return;
     }
-    if (!still_allowed())
+    if (!ensure_allowed())
         return;
-    if (names_leaving_prefill(placed)) {
+    if (exclude_leaving_prefill(placed)) {
         place();
         return;
     }
     placed_by_ = placed.by;
     decode_.server = decode->id;
     decode_.reserved_tokens = memory_needed();
-    decode_.placed = context_.loop.now();
+    decode_.placed_at = context_.loop.now();
     add_load(context_, decode_.server, {1, 0.0, decode_.reserved_tokens});
     const traffic::server* prefill =
         traffic::find(context_.state.servers, placed.prefill);
@@ -115,7 +115,7 @@
         start_decode();
 }
 
-bool generation_exchange::names_leaving_prefill(
+bool generation_exchange::exclude_leaving_prefill(
     const policy::placement& placed) {
     const traffic::server* engine =
         traffic::find(context_.state.servers, placed.prefill);
@@ -123,8 +123,8 @@
            prefill_.tried.insert(engine->id).second;
 }
 
-bool generation_exchange::prepay(int repeats) {
-    while (charges_.prepaid < repeats) {
+bool generation_exchange::prepay(int retries) {
+    while (charges_.prepaid < retries) {
         if (!spend_repeat(context_, service_.name))
             return false;
         ++charges_.prepaid;
@@ -132,7 +132,7 @@
     return true;
 }
 
-void generation_exchange::wait_for_room(const policy::room_summary& seen) {
+void generation_exchange::wait_for_capacity(const policy::room_summary& seen) {
     const auto expected = expected_wait(seen.forecast);
     const base::milliseconds start =
         policy::mean_start(context_.state.demands[service_.name]);
@@ -143,8 +143,8 @@
         join_queue(!policy::can_meet_target(unplaced, expected, start));
         return;
     }
-    log_room(seen, expected);
-    give_up("no_capacity", return_time(seen.forecast, expected));
+    log_no_capacity(seen, expected);
+    give_up("no_capacity", retry_after(seen.forecast, expected));
 }
 
 void generation_exchange::wait_for_connection() {
@@ -162,10 +162,10 @@
     policy::unplaced_request unplaced;
     unplaced.waited = since_arrival();
     unplaced.target = route_.target_latency;
-    const base::milliseconds patience_left =
+    const base::milliseconds until_caller_leaves =
         policy::first_event_patience(route_.target_latency, route_.target_gap) -
         since_arrival();
-    unplaced.time_left = std::min(time_left(), patience_left);
+    unplaced.time_left = std::min(time_left(), until_caller_leaves);
     unplaced.begun = attempts_.prefills > 0 || attempts_.runs > 0;
     return unplaced;
 }
@@ -188,7 +188,7 @@
         service_.name, rank(late), memory_needed(), [this] { place(); });
 }
 
-base::milliseconds generation_exchange::return_time(
+base::milliseconds generation_exchange::retry_after(
     const policy::room_forecast& forecast,
     std::optional<base::milliseconds> expected) {
     if (const auto limited = limited_return_time(context_, service_.name))
@@ -199,7 +199,7 @@
         context_.loop.now());
 }
 
-void generation_exchange::log_room(
+void generation_exchange::log_no_capacity(
     const policy::room_summary& room,
     std::optional<base::milliseconds> expected) {
     context_.log.write(
@@ -211,7 +211,7 @@
          {"most_room", room.max_room},
          {"peers",
           static_cast<std::int64_t>(context_.state.loads.peers.size())},
-         {"expected_wait_ms", expected.value_or(not_foreseen).count()},
+         {"expected_wait_ms", expected.value_or(unknown_wait).count()},
          {"waited_ms", since_arrival().count()}});
 }
 
--- a/libs/mintknotd-platform/relay/src/generation_exchange.hpp
+++ b/libs/mintknotd-platform/relay/src/generation_exchange.hpp
@@ -22,42 +22,42 @@
         const traffic::route& route, const traffic::service& service);
     ~generation_exchange() override;
 
-    void drained() override;
+    void on_sink_writable() override;
 
 private:
     /// The prefill call at hand, and what earlier ones leave behind.
     struct prefill_state {
         std::unique_ptr<upstream::call> call;
-        std::string server; ///< Empty: none is under way.
+        std::string server; ///< Empty if no call is in flight.
         std::string body;
         int status = 0;
         answer_terms terms;
-        base::steady_time started;
+        base::steady_time started_at;
         base::milliseconds expected{0};
-        double tokens_ahead = 0.0; ///< That were to be read before.
+        double tokens_ahead = 0.0; ///< Queued on the engine before this one.
         policy::excluded_servers tried;
     };
 
     /// A KV cache that a prefill engine keeps for this request.
     struct kept_result {
-        std::string server; ///< Empty: there is none.
+        std::string server; ///< Empty if there is no kept result.
         std::string handle;
-        std::string place;
-        base::steady_time until;
+        std::string location;
+        base::steady_time expires_at;
     };
 
     /// The decode call at hand, and what earlier ones leave behind.
     struct decode_state {
         std::unique_ptr<upstream::call> call;
-        std::string server; ///< On which memory is reserved; empty: none.
+        std::string server; ///< Where memory is reserved; empty if nowhere.
         double reserved_tokens = 0.0;
-        base::steady_time placed;
-        base::steady_time started;
+        base::steady_time placed_at;
+        base::steady_time started_at;
         http1::response_head answer;
         answer_terms terms;
         std::string failure_body;
-        bool streaming = false;   ///< The answer at hand is the stream.
-        bool used_result = false; ///< It began from a kept result.
+        bool streaming = false;   ///< The current answer is an event stream.
+        bool used_result = false; ///< The call uses a kept prefill result.
         traffic::event_splitter splitter;
         policy::excluded_servers tried;
     };
@@ -74,9 +74,9 @@
     /// A scheduler that is cut off from the store may name an engine that is
     /// known here to leave. @return true if it has not done so before for this
     /// request; the engine is ruled out from now on.
-    bool names_leaving_prefill(const policy::placement& placed);
+    bool exclude_leaving_prefill(const policy::placement& placed);
     /// @param seen by the last choice.
-    void wait_for_room(const policy::room_summary& seen);
+    void wait_for_capacity(const policy::room_summary& seen);
     /// Engines are there, but too many connections have failed in a row.
     void wait_for_connection();
     policy::unplaced_request describe_unplaced() const;
@@ -86,17 +86,17 @@
     expected_wait(const policy::room_forecast& forecast) const;
     void join_queue(bool late);
     /// @return what a refusal for want of room tells the caller.
-    base::milliseconds return_time(
+    base::milliseconds retry_after(
         const policy::room_forecast& forecast,
         std::optional<base::milliseconds> expected);
-    void log_room(
+    void log_no_capacity(
         const policy::room_summary& seen,
         std::optional<base::milliseconds> expected);
     /// @return true if a kept result can still be handed over.
     bool result_usable() const;
     /// Takes repeats out of the allowance until so many are prepaid.
     /// @return false if it is spent; what was taken stays prepaid.
-    bool prepay(int repeats);
+    bool prepay(int retries);
     void release_decode();
     double memory_needed() const;
 
@@ -105,7 +105,7 @@
     void log_prefill() const;
     void on_prefill_done();
     void keep_result(const prefill_result& result);
-    void note_read_time(base::milliseconds took);
+    void record_prefill_time(base::milliseconds duration);
     void on_prefill_failure(upstream::call_failure why);
     void on_prefill_silence();
     void
@@ -115,7 +115,7 @@
     void start_decode();
     /// @return true if the engine was named by a scheduler so long ago that it
     /// may have said since that it leaves, and nobody would tell this instance.
-    bool name_has_lapsed() const;
+    bool placement_expired() const;
     void log_decode() const;
     void send_decode(const traffic::server& engine);
     void on_decode_head(http1::response_head& head);
@@ -128,26 +128,27 @@
     void log_rejection() const;
     void watch_silence();
     /// Tells how much of the engine a finished decode has taken.
-    void note_demand();
+    void record_demand();
     /// The decode has ended so: asks what comes next, and does it.
     void after_decode(policy::call_end end, policy::call_result result);
-    void take(const policy::next_step& step);
+    void apply_step(const policy::next_step& step);
     void resume(std::string_view reason);
 
     /// Takes how long it took until the first event.
-    void note_pace_of_start();
-    void pass_on(const std::string& events);
+    void record_start_times();
+    void forward_events(const std::string& events);
     void send_head();
     /// Frees a kept result that will not be used.
-    void drop_result();
+    void release_result();
 
     std::unique_ptr<placement_ticket> placement_;
-    std::string placed_by_; ///< Host that chose the servers; empty: this one.
+    /// Host that chose the servers; empty if this instance did.
+    std::string placed_by_;
     policy::call_charges charges_;
     prefill_state prefill_;
     kept_result kept_;
     decode_state decode_;
-    std::optional<std::uint64_t> last_event_; ///< That was passed on.
+    std::optional<std::uint64_t> last_event_; ///< Last event forwarded.
     std::unique_ptr<wait_queue::ticket> queue_ticket_;
     event::timer wait_timer_;
     event::timer silence_timer_;
--- a/libs/mintknotd-platform/relay/src/generation_prefill.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_prefill.cpp
@@ -22,20 +22,22 @@
         policy::read_time(context_.state.rates, engine.id, ahead + tokens);
     prefill_.server = engine.id;
     prefill_.tried.insert(engine.id);
-    prefill_.started = context_.loop.now();
+    prefill_.started_at = context_.loop.now();
     prefill_.body.clear();
     ++attempts_.prefills;
     policy::note_sent(charges_);
-    note_offer();
+    record_send();
     add_load(context_, prefill_.server, {1, tokens, 0.0});
     log_prefill();
     call_terms terms = terms_for(engine);
     terms.stage = call_stage::prefill;
     kept_ = {};
-    kept_.place = base::to_string(engine.where);
+    kept_.location = base::to_string(engine.where);
     prefill_.call = upstream::call::start(
         context_.pool, {engine.id, engine.where}, call_for(terms), {},
-        {[this](const http1::response_head& head) { return belongs(head); },
+        {[this](const http1::response_head& head) {
+             return is_answer_to_request(head);
+         },
          [this](http1::response_head& head) {
              prefill_.status = head.status;
              prefill_.terms = context_.protocol.read_answer(head);
@@ -90,8 +92,8 @@
             rejected ? "prefill_rejected" : "prefill_failed");
         return;
     }
-    note_read_time(std::chrono::duration_cast<base::milliseconds>(
-        context_.loop.now() - prefill_.started));
+    record_prefill_time(std::chrono::duration_cast<base::milliseconds>(
+        context_.loop.now() - prefill_.started_at));
     note_result(
         context_, prefill_.server, policy::call_result::good,
         request_.terms.id);
@@ -101,21 +103,22 @@
     start_decode();
 }
 
-void generation_exchange::note_read_time(base::milliseconds took) {
+void generation_exchange::record_prefill_time(base::milliseconds duration) {
     const double tokens = request_.terms.prompt_tokens;
     policy::note_read(
         context_.state.rates, prefill_.server, tokens + prefill_.tokens_ahead,
-        took);
+        duration);
     if (prefill_.tokens_ahead <= 0.0)
         policy::note_read_alone(
-            context_.state.demands[service_.name], tokens, took);
+            context_.state.demands[service_.name], tokens, duration);
 }
 
 void generation_exchange::keep_result(const prefill_result& result) {
     kept_.server = prefill_.server;
     kept_.handle = result.handle;
-    kept_.place = context_.protocol.result_place(kept_.place, result.handle);
-    kept_.until =
+    kept_.location =
+        context_.protocol.result_place(kept_.location, result.handle);
+    kept_.expires_at =
         context_.loop.now() + policy::usable_life(service_.engine->handle_life);
 }
 
@@ -125,7 +128,7 @@
             policy::call_result::unreachable, "prefill_unreachable");
         return;
     }
-    note_broken_call(prefill_.server, prefill_.started);
+    record_broken_call(prefill_.server, prefill_.started_at);
     after_failed_prefill(policy::call_result::failed, "prefill_broke_off");
 }
 
@@ -147,21 +150,21 @@
     place();
 }
 
-void generation_exchange::drop_result() {
+void generation_exchange::release_result() {
     if (kept_.server.empty())
         return;
     const traffic::server* engine =
         traffic::find(context_.state.servers, kept_.server);
-    const kept_result dropped = std::move(kept_);
+    const kept_result unused = std::move(kept_);
     kept_ = {};
     context_.log.write(
         "result_dropped", {{"request", request_.terms.id},
-                           {"server", dropped.server},
-                           {"handle", dropped.handle}});
+                           {"server", unused.server},
+                           {"handle", unused.handle}});
     if (engine != nullptr &&
         !policy::rests(
             context_.state.health.resting, engine->id, context_.loop.now()))
-        context_.releases.add(*engine, dropped.handle);
+        context_.releases.add(*engine, unused.handle);
 }
 
 } // namespace mintknot::relay
--- a/libs/mintknotd-platform/relay/src/plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Answers up to this size are held until they are whole.
-constexpr std::size_t max_held_bytes = 256 * 1024;
+constexpr std::size_t max_buffered_bytes = 256 * 1024;
 
 } // namespace
 
@@ -49,25 +49,26 @@
 }
 
 void plain_exchange::place() {
-    policy::placement_query wanted;
-    wanted.service = service_.name;
-    wanted.excluded = tried_;
+    policy::placement_query query;
+    query.service = service_.name;
+    query.excluded = tried_;
     placement_ = place_request(
-        context_, service_, std::move(wanted),
+        context_, service_, std::move(query),
         [this](const policy::placement& placed) { on_placed(placed); });
 }
 
 void plain_exchange::on_placed(const policy::placement& placed) {
     const traffic::server* chosen =
         traffic::find(context_.state.servers, placed.server);
-    const bool leaves = chosen != nullptr && !may_send_to(context_, *chosen);
+    const bool unavailable =
+        chosen != nullptr && !may_send_to(context_, *chosen);
     // A scheduler that does not know yet that the server leaves, or that its
     // data centre is closed, names another one.
-    if (leaves && tried_.insert(chosen->id).second)
+    if (unavailable && tried_.insert(chosen->id).second)
         place();
-    else if (chosen == nullptr || leaves)
-        take(next_step(policy::call_end::no_server));
-    else if (still_allowed())
+    else if (chosen == nullptr || unavailable)
+        apply_step(next_step(policy::call_end::no_server));
+    else if (ensure_allowed())
         send(*chosen, placed.by);
 }
 
@@ -76,10 +77,10 @@
     server_ = server.id;
     tried_.insert(server.id);
     add_load(context_, server_, {1, 0.0, 0.0});
-    sent_ = context_.loop.now();
+    sent_at_ = context_.loop.now();
     ++sends_;
     ++attempts_.runs;
-    note_offer();
+    record_send();
     answer_ = {};
     answer_terms_ = {};
     body_.clear();
@@ -95,7 +96,9 @@
     call_ = upstream::call::start(
         context_.pool, {server.id, server.where}, call_for(terms_for(server)),
         {},
-        {[this](const http1::response_head& head) { return belongs(head); },
+        {[this](const http1::response_head& head) {
+             return is_answer_to_request(head);
+         },
          [this](http1::response_head& head) { on_head(head); },
          [this](std::string_view piece) { on_body(piece); },
          [this] { on_done(); },
@@ -121,14 +124,14 @@
     const bool stream =
         answer_terms_.event_stream && answer_terms_.has_signature &&
         !answer_terms_.has_content_coding && is_success(answer_.status);
-    if (stream || body_.size() > max_held_bytes)
+    if (stream || body_.size() > max_buffered_bytes)
         start_streaming();
 }
 
 void plain_exchange::start_streaming() {
-    raise(base::verdict::ran);
+    raise_verdict(base::verdict::ran);
     attempts_.answer_begun = true;
-    note_first_byte();
+    record_first_byte();
     http1::response_head head = answer_;
     http1::erase_hop_fields(head.fields);
     sink_.begin(std::move(head));
@@ -136,7 +139,7 @@
     body_.clear();
 }
 
-void plain_exchange::drained() {
+void plain_exchange::on_sink_writable() {
     if (call_ != nullptr)
         call_->resume();
 }
@@ -144,9 +147,9 @@
 policy::call_end plain_exchange::end_of_answer() const {
     if (answer_terms_.not_executed || answer_.status == status_misdirected)
         return policy::call_end::rejected;
-    const bool unsealed =
+    const bool lacks_signature =
         is_success(answer_.status) && !answer_terms_.has_signature;
-    if (answer_terms_.has_content_coding || unsealed)
+    if (answer_terms_.has_content_coding || lacks_signature)
         return policy::call_end::bad_answer;
     return is_server_failure(answer_.status) ? policy::call_end::server_failure
                                              : policy::call_end::answered;
@@ -159,7 +162,7 @@
         call_.reset();
         note_result(
             context_, server, policy::call_result::good, request_.terms.id);
-        note_whole_answer();
+        record_complete_answer();
         end_answer("answered");
         return;
     }
@@ -167,15 +170,15 @@
     if (end == policy::call_end::rejected) {
         --attempts_.runs;
         ++attempts_.rejections;
-        after(
+        after_call(
             end, answer_.status == status_misdirected
                      ? policy::call_result::misdirected
                      : policy::call_result::rejected);
         return;
     }
-    raise(base::verdict::ran);
-    note_whole_answer();
-    after(
+    raise_verdict(base::verdict::ran);
+    record_complete_answer();
+    after_call(
         end, end == policy::call_end::answered ? policy::call_result::good
                                                : policy::call_result::failed);
 }
@@ -185,20 +188,22 @@
     if (upstream::nothing_was_sent(why)) {
         --attempts_.runs;
         ++attempts_.unreachable;
-        after(policy::call_end::unreachable, policy::call_result::unreachable);
+        after_call(
+            policy::call_end::unreachable, policy::call_result::unreachable);
         return;
     }
-    raise(base::verdict::may_have_run);
-    note_broken_call(server_, sent_);
-    after(policy::call_end::broken_off, policy::call_result::failed);
+    raise_verdict(base::verdict::may_have_run);
+    record_broken_call(server_, sent_at_);
+    after_call(policy::call_end::broken_off, policy::call_result::failed);
 }
 
-void plain_exchange::after(policy::call_end end, policy::call_result result) {
+void plain_exchange::after_call(
+    policy::call_end end, policy::call_result result) {
     const std::string server = server_;
     release_load();
     call_.reset();
     note_result(context_, server, result, request_.terms.id);
-    take(next_step(end));
+    apply_step(next_step(end));
 }
 
 void plain_exchange::on_silence() {
@@ -208,7 +213,7 @@
     if (step.what == policy::action::keep_waiting ||
         !spend_repeat(context_, service_.name))
         return;
-    raise(base::verdict::may_have_run);
+    raise_verdict(base::verdict::may_have_run);
     cancel_calls();
     context_.metrics.count_repeat(step.reason);
     place();
@@ -220,14 +225,14 @@
         {verdict_, answer_terms_.not_executed, time_left()});
 }
 
-void plain_exchange::take(const policy::next_step& step) {
+void plain_exchange::apply_step(const policy::next_step& step) {
     if (step.what != policy::action::send_again) {
-        end_with(step.what, step);
+        end_with_step(step.what, step);
         return;
     }
     if (step.costs_repeat) {
         if (!spend_repeat(context_, service_.name)) {
-            end_with(step.otherwise, step);
+            end_with_step(step.otherwise, step);
             return;
         }
         context_.metrics.count_repeat(step.reason);
@@ -235,17 +240,18 @@
     place();
 }
 
-void plain_exchange::end_with(
+void plain_exchange::end_with_step(
     policy::action what, const policy::next_step& step) {
     if (what == policy::action::deliver) {
-        answer_whole(std::move(answer_), std::move(body_));
+        deliver_answer(std::move(answer_), std::move(body_));
         return;
     }
     if (step.server_out_of_reach) {
         give_up(step.reason, return_after_outage(context_, service_.name));
         return;
     }
-    end_by(what, what == step.what ? step.reason : step.otherwise_reason);
+    end_with_action(
+        what, what == step.what ? step.reason : step.otherwise_reason);
 }
 
 } // namespace mintknot::relay
--- a/libs/mintknotd-platform/relay/src/plain_exchange.hpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.hpp
@@ -18,7 +18,7 @@
         const traffic::route& route, const traffic::service& service);
     ~plain_exchange() override;
 
-    void drained() override;
+    void on_sink_writable() override;
 
 private:
     void run() override;
@@ -38,17 +38,17 @@
     /// @return what a whole answer means for the next step.
     policy::call_end end_of_answer() const;
     /// The call has ended so: asks what comes next, and does it.
-    void after(policy::call_end end, policy::call_result result);
+    void after_call(policy::call_end end, policy::call_result result);
     policy::next_step next_step(policy::call_end end) const;
-    void take(const policy::next_step& step);
+    void apply_step(const policy::next_step& step);
     /// Does a step that ends the exchange.
-    void end_with(policy::action what, const policy::next_step& step);
+    void end_with_step(policy::action what, const policy::next_step& step);
     void release_load();
 
     std::unique_ptr<placement_ticket> placement_;
     std::unique_ptr<upstream::call> call_;
-    std::string server_;     ///< ID of the one that is working on it.
-    base::steady_time sent_; ///< The call at hand.
+    std::string server_; ///< ID of the server of the current call, or empty.
+    base::steady_time sent_at_; ///< When the current call was sent.
     policy::excluded_servers tried_;
     http1::response_head answer_;
     answer_terms answer_terms_;
--- a/libs/mintknotd-platform/relay/src/release_queue.cpp
+++ b/libs/mintknotd-platform/relay/src/release_queue.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr std::size_t max_open = 64;
+constexpr std::size_t max_in_flight = 64;
 
 } // namespace
 
@@ -15,10 +15,10 @@
 
 void release_queue::add(
     const traffic::server& engine, const std::string& handle) {
-    if (open_.size() >= max_open)
+    if (in_flight_.size() >= max_in_flight)
         return;
-    const std::uint64_t number = ++last_;
-    open_[number] = upstream::call::start(
+    const std::uint64_t number = ++last_number_;
+    in_flight_[number] = upstream::call::start(
         pool_, {engine.id, engine.where},
         {protocol_.release(handle, engine.id), nullptr}, {},
         {nullptr, [](http1::response_head&) {}, [](std::string_view) {},
@@ -27,7 +27,7 @@
 }
 
 void release_queue::finish(std::uint64_t number) {
-    open_.erase(number);
+    in_flight_.erase(number);
 }
 
 } // namespace mintknot::relay
--- a/libs/mintknotd-platform/relay/src/router_state.cpp
+++ b/libs/mintknotd-platform/relay/src/router_state.cpp
@@ -243,7 +243,7 @@
     policy::placement_query query, const placement_handler& then) {
     query.connected = connected_servers(context, target.name);
     if (context.placement != nullptr && context.placement->active())
-        return context.placement->ask(std::move(query), then);
+        return context.placement->request_placement(std::move(query), then);
     policy::selection_inputs inputs = selection_for(context, target);
     inputs.connected = &query.connected;
     const policy::placement placed = policy::choose(inputs, query);
--- a/libs/mintknotd-platform/relay/tests/relay_fixture.cpp
+++ b/libs/mintknotd-platform/relay/tests/relay_fixture.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr base::milliseconds test_limit{15000};
-constexpr base::milliseconds poll{2};
+constexpr base::milliseconds test_timeout{15000};
+constexpr base::milliseconds poll_interval{2};
 
 std::string text_of(const http1::field_list& fields, std::string_view name) {
     const std::string* found = http1::find_field(fields, name);
@@ -234,20 +234,20 @@
         return;
     event::timer polling(owner);
     event::timer limit(owner);
-    bool late = false;
+    bool timed_out = false;
     std::function<void()> check = [&] {
         if (condition())
             owner.stop();
         else
-            polling.start(poll, [&] { check(); });
+            polling.start(poll_interval, [&] { check(); });
     };
-    polling.start(poll, [&] { check(); });
-    limit.start(test_limit, [&] {
-        late = true;
+    polling.start(poll_interval, [&] { check(); });
+    limit.start(test_timeout, [&] {
+        timed_out = true;
         owner.stop();
     });
     owner.run();
-    cr_assert(!late, "a condition was never met");
+    cr_assert(!timed_out, "condition not met within the time limit");
 }
 
 caller_view
@@ -258,7 +258,7 @@
     http1::response_parser parser({64 * 1024, 64 * 1024 * 1024}, false);
     std::string pending;
     event::connect(
-        owner, {"127.0.0.1", entry->port()}, test_limit,
+        owner, {"127.0.0.1", entry->port()}, test_timeout,
         [&](event::connection_ptr opened, event::connect_result) {
             link = std::move(opened);
             link->set_handlers(
@@ -284,7 +284,7 @@
         seen.status = parser.head().status;
         seen.fields = parser.head().fields;
     }
-    seen.whole = parser.done();
+    seen.complete = parser.done();
     if (link != nullptr)
         link->abort();
     return seen;
@@ -293,7 +293,7 @@
 event::connection_ptr relay_fixture::connect_idle() {
     event::connection_ptr link;
     event::connect(
-        owner, {"127.0.0.1", entry->port()}, test_limit,
+        owner, {"127.0.0.1", entry->port()}, test_timeout,
         [&](event::connection_ptr opened, event::connect_result) {
             link = std::move(opened);
         });
--- a/libs/mintknotd-platform/relay/tests/relay_fixture.hpp
+++ b/libs/mintknotd-platform/relay/tests/relay_fixture.hpp
@@ -49,10 +49,10 @@
 
 /// What a caller has seen on its connection.
 struct caller_view {
-    std::string text;   ///< Everything, byte for byte.
-    int status = 0;     ///< Of the first answer.
-    std::string body;   ///< Of the first answer.
-    bool whole = false; ///< The first answer was complete.
+    std::string text;      ///< All bytes received.
+    int status = 0;        ///< Status of the first answer.
+    std::string body;      ///< Body of the first answer.
+    bool complete = false; ///< The first answer was complete.
     http1::field_list fields;
     std::string field(std::string_view name) const;
 };
--- a/libs/mintknotd-platform/relay/tests/scripted_placer.hpp
+++ b/libs/mintknotd-platform/relay/tests/scripted_placer.hpp
@@ -16,13 +16,13 @@
     using answer =
         std::function<policy::placement(const policy::placement_query&)>;
 
-    explicit scripted_placer(answer how)
-        : answer_(std::move(how)) {}
+    explicit scripted_placer(answer function)
+        : answer_(std::move(function)) {}
 
     bool active() const override { return true; }
 
-    std::unique_ptr<placement_ticket>
-    ask(policy::placement_query query, placement_handler then) override {
+    std::unique_ptr<placement_ticket> request_placement(
+        policy::placement_query query, placement_handler then) override {
         then(answer_(query));
         return nullptr;
     }
--- a/libs/mintknotd-platform/relay/tests/test_generation_exchange.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_generation_exchange.cpp
@@ -25,7 +25,7 @@
 }
 
 /// Sends one event and a part of the next, then ends the connection.
-script breaking_off(bool reset) {
+script interrupting(bool reset) {
     return [reset](const received& to, const event::connection_ptr& link) {
         link->write(
             stream_head(to) + http1::chunk(event_text(1) + "id: 2\nda"));
@@ -43,7 +43,7 @@
 
 } // namespace
 
-Test(generation_exchange, prefill_hand_over_decode) {
+Test(generation_exchange, a_prefill_result_is_handed_over_to_decode) {
     relay_fixture f;
     scripted_server& p = f.add_server("p", "llm", prefill, good_prefill("k1"));
     scripted_server& d = f.add_server("d", "llm", decode, good_decode());
@@ -58,7 +58,9 @@
     cr_assert(f.context.state.loads.own.empty());
 }
 
-Test(generation_exchange, reading_may_be_repeated_for_every_kind) {
+Test(
+    generation_exchange,
+    a_failed_prefill_is_retried_for_non_resumable_streams) {
     relay_fixture f;
     const script broken = [](const received&,
                              const event::connection_ptr& link) {
@@ -74,7 +76,9 @@
     cr_assert(d.requests[0].field("From") == "k2");
 }
 
-Test(generation_exchange, without_prefill_engines_decode_engines_read) {
+Test(
+    generation_exchange,
+    without_prefill_engines_decode_engines_do_the_prefill) {
     relay_fixture f;
     scripted_server& d = f.add_server("d", "llm", decode, good_decode());
     cr_assert(f.ask(prompt("/stream/x")).body == all_events);
@@ -102,21 +106,21 @@
     cr_assert(d2.requests[0].field("From") == "k1");
 }
 
-Test(generation_exchange, a_stream_that_may_not_resume_is_broken_off) {
+Test(generation_exchange, a_broken_stream_that_is_not_resumable_is_aborted) {
     for (const bool reset : {true, false}) {
         relay_fixture f;
         f.add_server("p", "llm", prefill, good_prefill("k1"));
         scripted_server& d1 =
-            f.add_server("d1", "llm", decode, breaking_off(reset));
+            f.add_server("d1", "llm", decode, interrupting(reset));
         scripted_server& d2 =
-            f.add_server("d2", "llm", decode, breaking_off(reset));
+            f.add_server("d2", "llm", decode, interrupting(reset));
         const caller_view seen = f.ask(prompt("/stream/x"));
-        cr_assert(!seen.whole);
+        cr_assert(!seen.complete);
         cr_assert(d1.requests.size() + d2.requests.size() == 1);
     }
 }
 
-Test(generation_exchange, a_resumable_stream_goes_on_behind_the_last_event) {
+Test(generation_exchange, a_resumable_stream_continues_after_the_last_event) {
     for (const bool reset : {true, false}) {
         relay_fixture f;
         f.add_server("p", "llm", prefill, good_prefill("k1"));
@@ -125,7 +129,7 @@
                                         const event::connection_ptr& link) {
             if (!broken) {
                 broken = true;
-                breaking_off(reset)(to, link);
+                interrupting(reset)(to, link);
             } else {
                 good_decode()(to, link);
             }
@@ -133,26 +137,28 @@
         scripted_server& d1 = f.add_server("d1", "llm", decode, first_breaks);
         scripted_server& d2 = f.add_server("d2", "llm", decode, first_breaks);
         const caller_view seen = f.ask(prompt("/resume/x"));
-        cr_assert(seen.whole);
+        cr_assert(seen.complete);
         cr_assert(seen.body == all_events);
         cr_assert(d1.requests.size() == 1);
         cr_assert(d2.requests.size() == 1);
     }
 }
 
-Test(generation_exchange, no_more_engines_than_attempts) {
+Test(generation_exchange, a_stream_runs_no_more_often_than_its_attempts) {
     relay_fixture f;
     std::vector<scripted_server*> engines;
     for (const char* id : {"d1", "d2", "d3", "d4"})
-        engines.push_back(&f.add_server(id, "llm", decode, breaking_off(true)));
-    cr_assert(!f.ask(prompt("/resume/x")).whole);
+        engines.push_back(&f.add_server(id, "llm", decode, interrupting(true)));
+    cr_assert(!f.ask(prompt("/resume/x")).complete);
     std::size_t runs = 0;
     for (const scripted_server* engine : engines)
         runs += engine->requests.size();
     cr_assert(runs == 2);
 }
 
-Test(generation_exchange, without_room_it_is_refused_before_the_prefill) {
+Test(
+    generation_exchange,
+    without_capacity_requests_are_refused_before_the_prefill) {
     relay_fixture f;
     scripted_server& p = f.add_server("p", "llm", prefill, good_prefill("k1"));
     f.add_server("d", "llm", decode, good_decode());
@@ -163,7 +169,7 @@
     cr_assert(p.requests.empty());
 }
 
-Test(generation_exchange, waits_for_room_a_moment) {
+Test(generation_exchange, waits_for_capacity_that_is_expected_in_time) {
     relay_fixture f;
     // Requests end soon, so that room is expected in time.
     for (int i = 0; i < 100; ++i)
@@ -179,7 +185,7 @@
     cr_assert(f.ask(prompt("/stream/x", 5000)).body == all_events);
 }
 
-Test(generation_exchange, room_that_comes_too_late_is_not_waited_for) {
+Test(generation_exchange, does_not_wait_for_capacity_that_comes_too_late) {
     relay_fixture f;
     f.add_server("p", "llm", prefill, good_prefill("k1"));
     f.add_server("d", "llm", decode, good_decode());
@@ -194,10 +200,11 @@
     cr_assert(std::stoi(seen.field("Retry-After")) > 4000);
 }
 
-Test(generation_exchange, a_scheduler_that_names_a_gone_engine_is_asked_again) {
-    int asked = 0;
+Test(
+    generation_exchange, a_request_placed_on_a_removed_engine_is_placed_again) {
+    int placements = 0;
     scripted_placer scheduler([&](const policy::placement_query&) {
-        return policy::placement{.server = ++asked == 1 ? "gone" : "d"};
+        return policy::placement{.server = ++placements == 1 ? "removed" : "d"};
     });
     relay_fixture f;
     f.add_server("d", "llm", decode, good_decode());
@@ -208,7 +215,7 @@
 namespace {
 
 /// Makes an engine leave, or closes its data centre.
-void make_unfit(relay_fixture& f, const std::string& id, bool closes) {
+void make_unavailable(relay_fixture& f, const std::string& id, bool closes) {
     traffic::server_table& servers = f.context.state.servers;
     traffic::server row = *traffic::find(servers, id);
     row.draining = !closes;
@@ -219,55 +226,58 @@
 
 } // namespace
 
-Test(generation_exchange, an_unfit_engine_reads_no_prompt_whoever_names_it) {
+Test(
+    generation_exchange,
+    a_draining_engine_gets_no_prefill_from_a_stale_scheduler) {
     // Found by a hunt: a scheduler that the store had turned away named an
     // engine that the others knew to leave.
     scripted_placer scheduler([](const policy::placement_query& query) {
-        const bool told = query.excluded_prefill.contains("leaving");
+        const bool excluded = query.excluded_prefill.contains("leaving");
         return policy::placement{
-            .server = "d", .prefill = told ? "p" : "leaving"};
+            .server = "d", .prefill = excluded ? "p" : "leaving"};
     });
     for (const bool closes : {false, true}) {
         relay_fixture f;
         scripted_server& leaving =
             f.add_server("leaving", "llm", prefill, good_prefill("k0"));
-        scripted_server& reads =
+        scripted_server& prefills =
             f.add_server("p", "llm", prefill, good_prefill("k1"));
         f.add_server("d", "llm", decode, good_decode());
-        make_unfit(f, "leaving", closes);
+        make_unavailable(f, "leaving", closes);
         f.context.placement = &scheduler;
         cr_assert(f.ask(prompt("/stream/x")).body == all_events);
         cr_assert(leaving.requests.empty());
-        cr_assert(reads.requests.size() == 1);
+        cr_assert(prefills.requests.size() == 1);
     }
 }
 
-Test(generation_exchange, an_engine_named_long_ago_is_asked_for_again) {
+Test(generation_exchange, an_expired_placement_is_requested_again) {
     // An instance that holds no rows learns of engines by the names that
     // schedulers give it: while the prompt is read the engine may say that it
     // leaves, and only the scheduler hears it.
     bool leaves = false;
     scripted_placer scheduler([&](const policy::placement_query& query) {
-        const bool reads_apart =
+        const bool needs_prefill =
             query.kind == policy::placement_kind::prefill_and_decode;
         return policy::placement{
             .server = leaves ? "stays" : "leaves",
-            .prefill = reads_apart ? "p" : ""};
+            .prefill = needs_prefill ? "p" : ""};
     });
     // Well below the time after which a prefill counts as silent.
-    constexpr base::milliseconds reading{60};
+    constexpr base::milliseconds prefill_duration{60};
     for (const bool partial : {false, true}) {
         leaves = false;
         relay_fixture f;
-        event::timer read(f.owner);
+        event::timer prefill_timer(f.owner);
         const script answer = good_prefill("k1");
         f.add_server(
             "p", "llm", prefill,
             [&](const received& to, const event::connection_ptr& link) {
-                read.start(reading, [&leaves, answer, to, link] {
-                    leaves = true;
-                    answer(to, link);
-                });
+                prefill_timer.start(
+                    prefill_duration, [&leaves, answer, to, link] {
+                        leaves = true;
+                        answer(to, link);
+                    });
             });
         int after_leaving = 0;
         f.add_server(
@@ -278,7 +288,7 @@
             });
         f.add_server("stays", "llm", decode, good_decode());
         f.context.placement = &scheduler;
-        f.context.options.named_server_life = reading / 2;
+        f.context.options.named_server_life = prefill_duration / 2;
         f.context.state.servers.partial = partial;
         cr_assert(f.ask(prompt("/stream/x")).body == all_events);
         // Who holds the rows would know it.
@@ -286,17 +296,18 @@
     }
 }
 
-Test(generation_exchange, a_closed_data_centre_runs_nothing) {
+Test(generation_exchange, an_engine_in_a_closed_data_centre_gets_no_request) {
     relay_fixture f;
     scripted_server& engine = f.add_server("d", "llm", decode, good_decode());
-    make_unfit(f, "d", true);
+    make_unavailable(f, "d", true);
     cr_assert(f.ask(prompt("/stream/x")).status == 503);
     cr_assert(engine.requests.empty());
     traffic::set_closed(f.context.state.servers, "left", false);
     cr_assert(f.ask(prompt("/stream/x")).body == all_events);
 }
 
-Test(generation_exchange, those_who_wait_elsewhere_are_ahead) {
+Test(
+    generation_exchange, requests_waiting_at_peers_lengthen_the_expected_wait) {
     relay_fixture f;
     f.add_server("d", "llm", decode, good_decode());
     for (int i = 0; i < 300; ++i)
@@ -308,7 +319,7 @@
     cr_assert(f.ask(prompt("/stream/x", 5000)).status == 503);
 }
 
-Test(generation_exchange, a_result_that_is_not_used_is_freed) {
+Test(generation_exchange, an_unused_prefill_result_is_released) {
     relay_fixture f;
     scripted_server& p = f.add_server("p", "llm", prefill, good_prefill("k1"));
     f.add_server("d", "llm", decode, rejecting());
@@ -318,7 +329,7 @@
     cr_assert(p.requests.back().head.target == "/k1");
 }
 
-Test(generation_exchange, a_caller_that_leaves_ends_the_decode) {
+Test(generation_exchange, a_caller_that_disconnects_cancels_the_decode) {
     relay_fixture f;
     f.add_server("p", "llm", prefill, good_prefill("k1"));
     scripted_server& d = f.add_server(
@@ -331,7 +342,7 @@
     cr_assert(f.context.state.loads.own.empty());
 }
 
-Test(generation_exchange, dead_engines_do_not_make_a_busy_loop) {
+Test(generation_exchange, unreachable_engines_do_not_cause_a_busy_loop) {
     relay_fixture f;
     f.add_dead_server("d1", "llm");
     f.add_dead_server("d2", "llm");
@@ -340,7 +351,7 @@
     cr_assert(f.pool.counters().failed < 60);
 }
 
-Test(generation_exchange, unreachable_engines_are_the_reason_of_a_refusal) {
+Test(generation_exchange, a_refusal_names_unreachable_engines_as_the_reason) {
     relay_fixture f;
     f.add_dead_server("d1", "llm");
     f.add_dead_server("d2", "llm");
@@ -351,7 +362,7 @@
     cr_assert(!seen.field("Retry-After").empty());
 }
 
-Test(generation_exchange, an_engines_failure_is_passed_on) {
+Test(generation_exchange, an_engine_failure_is_forwarded) {
     relay_fixture f;
     f.add_server(
         "d", "llm", decode,
@@ -363,7 +374,7 @@
     cr_assert(seen.body == "oops");
 }
 
-Test(generation_exchange, a_long_prefill_queue_is_passed_by) {
+Test(generation_exchange, a_long_prefill_queue_is_bypassed) {
     relay_fixture f;
     scripted_server& p = f.add_server("p", "llm", prefill, good_prefill("k1"));
     scripted_server& d = f.add_server("d", "llm", decode, good_decode());
@@ -373,7 +384,7 @@
     cr_assert(d.requests.size() == 1);
 }
 
-Test(generation_exchange, a_prefill_engine_is_used_while_the_target_allows) {
+Test(generation_exchange, a_prefill_engine_is_used_if_the_target_can_be_met) {
     relay_fixture f;
     scripted_server& p = f.add_server("p", "llm", prefill, good_prefill("k1"));
     f.add_server("d", "llm", decode, good_decode());
@@ -383,7 +394,9 @@
     cr_assert(p.requests.size() == 1);
 }
 
-Test(generation_exchange, what_may_be_running_waits_beyond_its_target) {
+Test(
+    generation_exchange,
+    a_request_that_may_be_running_waits_beyond_its_target) {
     // Found on nucleos-gt trouble-1: after the loss of power of all instances,
     // sixteen streams were given up as an engine was silent for a second.
     relay_fixture f;
@@ -401,7 +414,9 @@
     cr_assert(f.ask(prompt("/resume/x", 5000)).body == all_events);
 }
 
-Test(generation_exchange, who_waits_is_refused_before_its_caller_leaves) {
+Test(
+    generation_exchange,
+    a_waiting_request_is_refused_before_its_caller_leaves) {
     // Found on norrvik-drift-large trouble-1: after a rejected decode a request
     // waited for room until its caller had gone, and so could not come back.
     relay_fixture f;
@@ -415,15 +430,17 @@
     for (int i = 0; i < 100; ++i)
         policy::note_decode(
             f.context.state.demands["llm"], 0.5, base::milliseconds(100));
-    const base::steady_time asked = f.owner.now();
+    const base::steady_time sent_at = f.owner.now();
     const caller_view got = f.ask(prompt("/stream/x", 2000));
-    const auto took = f.owner.now() - asked;
+    const auto duration = f.owner.now() - sent_at;
     cr_assert(got.status == 503);
     cr_assert(!got.field("Retry-After").empty());
-    cr_assert(took < std::chrono::milliseconds(4000), "held too long");
+    cr_assert(
+        duration < std::chrono::milliseconds(4000),
+        "request held for too long");
 }
 
-Test(generation_exchange, every_arrival_but_the_first_is_charged) {
+Test(generation_exchange, every_call_after_the_first_is_charged) {
     // Found by a score of fvmcw-proto: a decode after a rejected prefill was
     // not charged, and the bound of all instances was broken.
     relay_fixture f;
@@ -435,7 +452,7 @@
     cr_assert(d.requests.empty());
 }
 
-Test(generation_exchange, repeats_that_peers_lend_are_waited_for) {
+Test(generation_exchange, a_request_waits_for_retries_borrowed_from_peers) {
     relay_fixture f;
     f.context.state.instances = 100;
     f.context.state.retry_bounds = {0.0, 0.0, base::milliseconds(10000)};
@@ -443,16 +460,17 @@
     f.add_server("d", "llm", decode, good_decode());
     event::timer answer(f.owner);
     f.context.state.on_repeats_low = [&](const std::string&, int) {
-        const base::steady_time asked = f.owner.now();
-        answer.start(base::milliseconds(5), [&f, asked] {
+        const base::steady_time requested_at = f.owner.now();
+        answer.start(base::milliseconds(5), [&f, requested_at] {
             policy::borrow(
-                f.context.state.allowances["llm"], 4, asked, f.owner.now());
+                f.context.state.allowances["llm"], 4, requested_at,
+                f.owner.now());
         });
     };
     cr_assert(f.ask(prompt("/stream/x")).body == all_events);
 }
 
-Test(generation_exchange, without_a_loan_the_request_is_refused_soon) {
+Test(generation_exchange, a_request_is_refused_if_no_retries_can_be_borrowed) {
     relay_fixture f;
     f.context.state.instances = 100;
     f.context.state.retry_bounds = {0.0, 0.0, base::milliseconds(10000)};
@@ -462,7 +480,7 @@
     cr_assert(d.requests.empty());
 }
 
-Test(generation_exchange, the_prefill_that_is_taken_up_is_free) {
+Test(generation_exchange, a_prefill_that_is_executed_is_not_charged) {
     relay_fixture f;
     f.context.state.retry_bounds = {0.0, 0.0, base::milliseconds(10000)};
     f.add_server("p", "llm", prefill, good_prefill("k1"));
@@ -470,7 +488,7 @@
     cr_assert(f.ask(prompt("/stream/x")).body == all_events);
 }
 
-Test(generation_exchange, no_prompt_is_read_where_the_decode_may_not_follow) {
+Test(generation_exchange, no_prefill_is_sent_without_allowance_for_the_decode) {
     // Found on fvmcw-proto trouble-2: after a lost prefill another engine read
     // the prompt, and then there was no allowance left for the decode.
     relay_fixture f;
@@ -504,6 +522,6 @@
     f.add_server("d1", "llm", decode, pausing);
     f.add_server("d2", "llm", decode, pausing);
     const caller_view seen = f.ask(prompt("/resume/x"));
-    cr_assert(seen.whole);
+    cr_assert(seen.complete);
     cr_assert(seen.body == all_events);
 }
--- a/libs/mintknotd-platform/relay/tests/test_organisations.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_organisations.cpp
@@ -28,14 +28,14 @@
 public:
     explicit scripted_limiter(event::loop& owner)
         : owner_(owner) {}
-    std::unique_ptr<usage_ticket>
-    ask(const traffic::organisation& who, double cost,
+    std::unique_ptr<usage_ticket> request_grant(
+        const traffic::organisation& who, double cost,
         usage_handler then) override {
         asked.push_back(who.name);
         costs.push_back(cost);
         usage_grant told;
         told.granted = grants;
-        told.come_back = milliseconds{700};
+        told.retry_after = milliseconds{700};
         told.cost = cost;
         owner_.post([this, told, then] {
             if (before_grant)
@@ -44,7 +44,7 @@
         });
         return std::make_unique<usage_ticket>();
     }
-    void give_back(const std::string&, const usage_grant& unused) override {
+    void refund(const std::string&, const usage_grant& unused) override {
         returned += unused.cost;
     }
     bool grants = true;
@@ -92,7 +92,7 @@
     scripted_server& reads =
         f.add_server("p", "llm", prefill, good_prefill("h"));
     scripted_server& runs = f.add_server("d", "llm", decode, good_decode());
-    cr_assert(f.ask(request("/stream/1", known + "Tokens: 40\r\n")).whole);
+    cr_assert(f.ask(request("/stream/1", known + "Tokens: 40\r\n")).complete);
     for (const scripted_server* server : {&reads, &runs}) {
         cr_assert(server->requests.size() == 1);
         cr_assert(server->requests[0].field("Organisation") == "o");
--- a/libs/mintknotd-platform/relay/tests/test_plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_plain_exchange.cpp
@@ -13,7 +13,7 @@
 
 constexpr auto plain = traffic::engine_phase::none;
 
-script saying(const std::string& body, int status = 200) {
+script answering_with(const std::string& body, int status = 200) {
     return [=](const received& to, const event::connection_ptr& link) {
         link->write(answer_to(to, body, status));
     };
@@ -25,7 +25,7 @@
     };
 }
 
-script breaking() {
+script resetting() {
     return [](const received&, const event::connection_ptr& link) {
         link->reset();
     };
@@ -36,7 +36,7 @@
 }
 
 /// @return how many requests all servers have seen.
-std::size_t sum(const std::vector<scripted_server*>& servers) {
+std::size_t total_requests(const std::vector<scripted_server*>& servers) {
     std::size_t count = 0;
     for (const scripted_server* server : servers)
         count += server->requests.size();
@@ -45,9 +45,10 @@
 
 } // namespace
 
-Test(plain_exchange, passes_request_and_answer_on) {
+Test(plain_exchange, forwards_request_and_answer) {
     relay_fixture f;
-    scripted_server& server = f.add_server("i1", "app", plain, saying("yes"));
+    scripted_server& server =
+        f.add_server("i1", "app", plain, answering_with("yes"));
     const caller_view seen = f.ask(request("/unsafe/x?y=%20z"));
     cr_assert(seen.status == 200);
     cr_assert(seen.body == "yes");
@@ -57,38 +58,38 @@
     cr_assert(server.requests.at(0).field("Target") == "i1");
 }
 
-Test(plain_exchange, an_unsafe_request_that_may_have_run_is_not_sent_again) {
+Test(plain_exchange, an_unsafe_request_that_may_have_run_is_not_retried) {
     relay_fixture f;
-    scripted_server& one = f.add_server("i1", "app", plain, breaking());
-    scripted_server& two = f.add_server("i2", "app", plain, breaking());
+    scripted_server& one = f.add_server("i1", "app", plain, resetting());
+    scripted_server& two = f.add_server("i2", "app", plain, resetting());
     const caller_view seen = f.ask(request("/unsafe/x"));
     cr_assert(seen.status == 502);
     cr_assert(seen.field("Retry-After").empty());
-    cr_assert(sum({&one, &two}) == 1);
+    cr_assert(total_requests({&one, &two}) == 1);
 }
 
-Test(plain_exchange, a_safe_request_is_sent_again_within_its_attempts) {
+Test(plain_exchange, a_safe_request_is_retried_up_to_its_attempts) {
     relay_fixture f;
-    scripted_server& one = f.add_server("i1", "app", plain, breaking());
-    scripted_server& two = f.add_server("i2", "app", plain, breaking());
-    scripted_server& three = f.add_server("i3", "app", plain, breaking());
+    scripted_server& one = f.add_server("i1", "app", plain, resetting());
+    scripted_server& two = f.add_server("i2", "app", plain, resetting());
+    scripted_server& three = f.add_server("i3", "app", plain, resetting());
     cr_assert(f.ask(request("/safe/x")).status == 502);
-    cr_assert(sum({&one, &two, &three}) == 2);
+    cr_assert(total_requests({&one, &two, &three}) == 2);
 }
 
-Test(plain_exchange, a_rejection_allows_another_server) {
+Test(plain_exchange, a_rejected_request_goes_to_another_server) {
     relay_fixture f;
     scripted_server& one = f.add_server("i1", "app", plain, rejecting());
     scripted_server& two = f.add_server("i2", "app", plain, rejecting());
-    two.behaviour = saying("ran");
+    two.behaviour = answering_with("ran");
     one.behaviour = rejecting();
     const caller_view seen = f.ask(request("/unsafe/x"));
     cr_assert(seen.status == 200);
     cr_assert(seen.body == "ran");
-    cr_assert(sum({&two}) == 1);
+    cr_assert(total_requests({&two}) == 1);
 }
 
-Test(plain_exchange, all_rejecting_is_a_promise_with_a_time_to_come_back) {
+Test(plain_exchange, rejection_by_all_servers_is_a_503_with_retry_after) {
     relay_fixture f;
     f.add_server("i1", "app", plain, rejecting());
     f.add_server("i2", "app", plain, rejecting());
@@ -98,15 +99,15 @@
     cr_assert(seen.field("Seal").empty());
 }
 
-Test(plain_exchange, a_dead_server_is_passed_over) {
+Test(plain_exchange, an_unreachable_server_is_skipped) {
     relay_fixture f;
     f.add_dead_server("i1", "app");
     f.add_dead_server("i2", "app");
-    f.add_server("i3", "app", plain, saying("yes"));
+    f.add_server("i3", "app", plain, answering_with("yes"));
     cr_assert(f.ask(request("/unsafe/x")).body == "yes");
 }
 
-Test(plain_exchange, after_a_long_outage_callers_are_told_to_come_back_later) {
+Test(plain_exchange, retry_after_grows_with_the_age_of_an_outage) {
     relay_fixture f;
     f.add_dead_server("i1", "app");
     policy::note(
@@ -117,16 +118,16 @@
     cr_assert(std::stoi(seen.field("Retry-After")) >= 3000);
 }
 
-Test(plain_exchange, a_servers_own_failure_is_passed_on) {
+Test(plain_exchange, a_server_failure_is_forwarded) {
     relay_fixture f;
-    f.add_server("i1", "app", plain, saying("oops", 500));
+    f.add_server("i1", "app", plain, answering_with("oops", 500));
     const caller_view seen = f.ask(request("/unsafe/x"));
     cr_assert(seen.status == 500);
     cr_assert(seen.body == "oops");
     cr_assert(seen.field("Seal") == "s");
 }
 
-Test(plain_exchange, a_success_without_seal_never_reaches_the_caller) {
+Test(plain_exchange, a_success_without_signature_never_reaches_the_caller) {
     relay_fixture f;
     f.add_server(
         "i1", "app", plain,
@@ -140,7 +141,7 @@
     cr_assert(seen.text.find("bad\n") == std::string::npos);
 }
 
-Test(plain_exchange, an_encoded_answer_is_not_what_was_asked_for) {
+Test(plain_exchange, an_answer_with_content_coding_is_refused) {
     relay_fixture f;
     f.add_server(
         "i1", "app", plain,
@@ -153,7 +154,7 @@
     cr_assert(f.ask(request("/unsafe/x")).status == 502);
 }
 
-Test(plain_exchange, another_requests_answer_is_not_handed_out) {
+Test(plain_exchange, an_answer_to_another_request_is_not_forwarded) {
     relay_fixture f;
     f.add_server(
         "i1", "app", plain,
@@ -165,7 +166,7 @@
     cr_assert(f.ask(request("/unsafe/x")).body == "yours");
 }
 
-Test(plain_exchange, an_answer_without_length_stays_without_one) {
+Test(plain_exchange, an_answer_without_length_ends_with_its_connection) {
     for (const bool orderly : {true, false}) {
         relay_fixture f;
         f.add_server(
@@ -180,7 +181,7 @@
         caller_view seen;
         if (orderly) {
             seen = f.ask(request("/unsafe/x"));
-            cr_assert(seen.whole);
+            cr_assert(seen.complete);
             cr_assert(seen.body == "abc");
             cr_assert(seen.field("Content-Length").empty());
         } else {
@@ -190,7 +191,7 @@
     }
 }
 
-Test(plain_exchange, time_up_says_whether_it_may_have_run) {
+Test(plain_exchange, a_deadline_after_the_send_gives_504_without_retry_after) {
     relay_fixture f;
     f.add_server("i1", "app", plain, silent());
     const caller_view seen =
@@ -199,16 +200,17 @@
     cr_assert(seen.field("Retry-After").empty());
 }
 
-Test(plain_exchange, the_time_left_is_passed_on) {
+Test(plain_exchange, the_remaining_time_is_forwarded) {
     relay_fixture f;
-    scripted_server& server = f.add_server("i1", "app", plain, saying("x"));
+    scripted_server& server =
+        f.add_server("i1", "app", plain, answering_with("x"));
     f.ask(request("/unsafe/x", "Id: r1\r\nDeadline: 700\r\n"));
     f.ask(request("/unsafe/x", "Id: r2\r\nDeadline: 99999\r\n"));
     cr_assert(std::stoi(server.requests.at(0).field("Left")) <= 700);
     cr_assert(std::stoi(server.requests.at(1).field("Left")) <= 5000);
 }
 
-Test(plain_exchange, a_caller_that_leaves_ends_the_call) {
+Test(plain_exchange, a_caller_that_disconnects_cancels_the_call) {
     relay_fixture f;
     scripted_server& server = f.add_server("i1", "app", plain, silent());
     f.ask(request("/safe/x"), [&] { return server.requests.size() == 1; });
@@ -217,39 +219,40 @@
     cr_assert(f.context.state.loads.own.empty());
 }
 
-Test(plain_exchange, without_servers_nothing_has_run) {
+Test(plain_exchange, without_servers_the_answer_is_503_with_retry_after) {
     relay_fixture f;
     const caller_view seen = f.ask(request("/unsafe/x"));
     cr_assert(seen.status == 503);
     cr_assert(!seen.field("Retry-After").empty());
 }
 
-Test(plain_exchange, an_empty_retry_allowance_ends_the_retries) {
+Test(plain_exchange, a_spent_retry_allowance_prevents_retries) {
     relay_fixture f;
     f.context.state.retry_bounds = {0.0, 0.0, base::milliseconds(10000)};
-    scripted_server& one = f.add_server("i1", "app", plain, breaking());
-    scripted_server& two = f.add_server("i2", "app", plain, breaking());
+    scripted_server& one = f.add_server("i1", "app", plain, resetting());
+    scripted_server& two = f.add_server("i2", "app", plain, resetting());
     cr_assert(f.ask(request("/safe/x")).status == 502);
-    cr_assert(sum({&one, &two}) == 1);
+    cr_assert(total_requests({&one, &two}) == 1);
 }
 
-Test(plain_exchange, a_large_answer_to_a_slow_caller_is_held_back) {
+Test(plain_exchange, a_large_answer_is_complete_despite_backpressure) {
     relay_fixture f;
     const std::string large(8 * 1024 * 1024, 'x');
-    f.add_server("i1", "app", plain, saying(large));
+    f.add_server("i1", "app", plain, answering_with(large));
     const caller_view seen = f.ask(request("/unsafe/x"));
-    cr_assert(seen.whole);
+    cr_assert(seen.complete);
     cr_assert(seen.body == large);
 }
 
-Test(plain_exchange, a_server_of_a_closed_data_centre_runs_nothing) {
+Test(plain_exchange, a_server_in_a_closed_data_centre_gets_no_request) {
     scripted_placer scheduler([](const policy::placement_query& query) {
-        const bool told = query.excluded.contains("i1");
-        return policy::placement{.server = told ? "i2" : "i1"};
+        const bool excluded = query.excluded.contains("i1");
+        return policy::placement{.server = excluded ? "i2" : "i1"};
     });
     relay_fixture f;
-    scripted_server& closed = f.add_server("i1", "app", plain, saying("a"));
-    f.add_server("i2", "app", plain, saying("b"));
+    scripted_server& closed =
+        f.add_server("i1", "app", plain, answering_with("a"));
+    f.add_server("i2", "app", plain, answering_with("b"));
     traffic::server row = *traffic::find(f.context.state.servers, "i1");
     row.data_centre = "left";
     traffic::apply(f.context.state.servers, "i1", 1000, row);
--- a/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/remote_placer.hpp
+++ b/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/remote_placer.hpp
@@ -60,8 +60,8 @@
     remote_placer& operator=(const remote_placer&) = delete;
 
     bool active() const override;
-    std::unique_ptr<relay::placement_ticket>
-    ask(policy::placement_query query, relay::placement_handler then) override;
+    std::unique_ptr<relay::placement_ticket> request_placement(
+        policy::placement_query query, relay::placement_handler then) override;
 
     /// Own loads have shrunk, or health has changed.
     void loads_changed();
--- a/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
@@ -271,11 +271,11 @@
     return impl_->ports.active();
 }
 
-std::unique_ptr<relay::placement_ticket> remote_placer::ask(
+std::unique_ptr<relay::placement_ticket> remote_placer::request_placement(
     policy::placement_query query, relay::placement_handler then) {
     const std::uint64_t number =
         impl_->begin(std::move(query), std::move(then));
-    return std::make_unique<relay::withdrawing_ticket>(
+    return std::make_unique<relay::cancelling_ticket>(
         impl_->life, [this, number] { impl_->questions.erase(number); });
 }
 
--- a/libs/mintknotd-platform/scheduling/tests/test_remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/tests/test_remote_placer.cpp
@@ -54,7 +54,7 @@
         query.service = "llm";
         query.kind = policy::placement_kind::decode;
         query.memory_tokens = memory_tokens;
-        return placer.ask(
+        return placer.request_placement(
             query, [this](const policy::placement& placed) { got = placed; });
     }
 
