--- a/libs/mintknotd-platform/relay/include/mintknot/relay/crash_guard.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/crash_guard.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// How exchanges ask whether their request crashes the servers that run it, and
-/// tell what became of it.
+/// Interface through which exchanges check whether a request is blocked because
+/// it crashes servers, and report how calls with it ended.
 #ifndef MINTKNOT_RELAY_CRASH_GUARD_HPP
 #define MINTKNOT_RELAY_CRASH_GUARD_HPP
 
@@ -13,11 +13,11 @@
 
 namespace mintknot::relay {
 
-/// A request under whatever ID it comes. The digest of a large body takes
-/// milliseconds: it is made when it is first asked for.
+/// Identifies a request by its content, independent of its request ID. The
+/// digest of a large body takes milliseconds, so it is computed on first use.
 class request_identity {
 public:
-    /// @param make called once at most, see request_digest().
+    /// @param compute_digest called at most once, see request_digest().
     request_identity(
         std::size_t body_bytes, std::function<std::string()> compute_digest);
 
@@ -30,22 +30,24 @@
     mutable std::string digest_;
 };
 
-/// Knows which requests crash servers, over all instances.
+/// Tracks which requests crash servers, across all instances.
 class crash_guard {
 public:
     virtual ~crash_guard() = default;
 
-    /// @return for how much longer the request is refused; nothing: it is not.
+    /// @return for how much longer the request is refused; empty if it is not
+    /// blocked.
     virtual std::optional<base::milliseconds>
     blocked_for(const request_identity& request) const = 0;
 
-    /// A call to a server has ended before its answer did: the server may have
-    /// crashed, or only the connection is lost. @param ran_for since the send.
+    /// Reports a call whose connection ended before the answer was complete:
+    /// the server may have crashed, or only the connection was lost.
+    /// @param ran_for time since the request was sent.
     virtual void report_broken_call(
         const request_identity& request, const std::string& server_id,
         base::milliseconds ran_for) = 0;
 
-    /// A server has run the request and its answer is whole.
+    /// Reports that a server has run the request and sent a complete answer.
     virtual void report_answer(const request_identity& request) = 0;
 };
 
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/exchange.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/exchange.hpp
@@ -16,49 +16,53 @@
 
 namespace mintknot::relay {
 
-/// A caller's request, read whole.
+/// A caller's request whose body has been received completely.
 struct caller_request {
     http1::request_head head;
     std::shared_ptr<const std::string> body;
     request_terms terms;
     base::steady_time arrived;
-    /// Whose request it is, in the configuration that it was routed by; null:
-    /// nobody's.
+    /// The organisation that the caller's key belongs to, in the configuration
+    /// that the request was routed by; null if there is none.
     const traffic::organisation* organisation = nullptr;
 };
 
-/// Where an answer goes. Exactly one of whole(), end() and break_off() is
-/// called last; nothing is called after caller_left().
+/// Receives the answer to a request. The last call is exactly one of
+/// send_complete(), end() and abort(). No function is called after
+/// exchange::on_caller_disconnected().
 class answer_sink {
 public:
     virtual ~answer_sink() = default;
 
-    /// Sends an answer that is complete.
+    /// Sends a complete answer.
     virtual void send_complete(http1::response_head head, std::string body) = 0;
-    /// Sends a head; data() and end() follow. The framing is chosen here,
-    /// unless the head says framing::close.
+    /// Sends the head of a streamed answer; data() and end() follow. The sink
+    /// chooses the framing unless the head demands framing::close.
     virtual void begin(http1::response_head head) = 0;
     virtual void data(std::string_view bytes) = 0;
     virtual void end() = 0;
-    /// Ends an answer so that it cannot be taken for a complete one.
+    /// Ends a streamed answer so that the caller detects it as incomplete.
     virtual void abort() = 0;
-    /// @return true if the caller reads too slowly; drained() follows.
+    /// @return true if too much of the answer is unsent because the caller
+    /// reads slowly; exchange::on_sink_writable() is called once that has
+    /// changed.
     virtual bool congested() const = 0;
 };
 
-/// Common part of the kinds of exchanges. The sink outlives the exchange.
+/// Base class of the exchanges: deadline, usage limits, verdict and the answers
+/// that the router itself gives. The sink must outlive the exchange.
 class exchange {
 public:
     virtual ~exchange();
     exchange(const exchange&) = delete;
     exchange& operator=(const exchange&) = delete;
 
-    /// Begins: asks whether the organisation may use so much, then runs. The
-    /// sink may be called from within.
+    /// Starts the exchange: requests a usage grant if the organisation has a
+    /// limit, then calls run(). The sink may be called before this returns.
     void start();
-    /// The caller's connection has ended.
+    /// Cancels the exchange because the caller's connection has ended.
     void on_caller_disconnected();
-    /// The sink is no longer congested.
+    /// Resumes reading from the server: the sink is no longer congested.
     virtual void on_sink_writable() = 0;
 
 protected:
@@ -68,53 +72,59 @@
         const traffic::route& route, const traffic::service& service);
 
     virtual void run() = 0;
-    /// Cancels what is in flight at servers.
+    /// Cancels all calls to servers that are in flight.
     virtual void cancel_calls() = 0;
-    /// @return true if a call is in flight that may run the request.
+    /// @return true if a call that is in flight may be running the request.
     virtual bool may_be_running() const = 0;
 
     base::milliseconds time_left() const;
     base::milliseconds since_arrival() const;
-    /// Raises the verdict; it is never lowered.
+    /// Raises the verdict to `seen` if that is higher; never lowers it.
     void raise_verdict(base::verdict seen);
 
-    /// Ends the exchange with an answer of the router's own. The status
-    /// follows from the verdict: only `not_run` promises that it has not run.
+    /// Ends the exchange with an error answer by the router. The status follows
+    /// from the verdict: only `not_run` yields a status that promises that the
+    /// request has not run.
     void give_up(std::string_view reason);
-    /// The same with the time after which a caller may come back.
+    /// As above. @param retry_after when the caller may retry; sent only if the
+    /// request has not run.
     void give_up(std::string_view reason, base::milliseconds retry_after);
-    /// Ends the exchange with an answer of the router's own with that status,
-    /// which promises that the request has not run.
+    /// Ends the exchange with an error answer by the router. The given status
+    /// promises that the request has not run.
     void refuse(
         int status, std::string_view reason,
         std::optional<base::milliseconds> retry_after);
-    /// Looks again, before each send, whether the request may go to a server:
-    /// the caller's key may have been taken away while the request waited, or
-    /// the request been blocked. @return false if it may not; the exchange has
-    /// ended then.
+    /// Checks, before each send, that the request may still go to a server: the
+    /// caller's key may have been revoked or the request blocked while it
+    /// waited. @return false if it may not; the exchange has then ended.
     bool ensure_allowed();
-    /// @return the priority of the organisation, or else of the route.
+    /// @return the priority of the organisation or, if it has none, of the
+    /// route.
     int priority() const;
-    /// Ends the exchange with a server's answer.
+    /// Ends the exchange with a server's complete answer.
     void deliver_answer(http1::response_head head, std::string body);
     void record_first_byte();
-    /// A call of the request goes out to a server.
+    /// Records that a call of this request is sent to a server.
     void record_send();
-    /// @return whether the caller has been refused before, by its deadline.
+    /// @return true if the deadline of the request is shorter than that of a
+    /// first try, so that the caller must have been refused before.
     bool is_caller_retry() const;
     void end_answer(std::string_view outcome);
     void abort_answer(std::string_view reason);
-    /// Ends the exchange as a step says. @param what give_up or break_off.
+    /// Ends the exchange as a policy step demands. @param what give_up or
+    /// break_off.
     void end_with_action(policy::action what, std::string_view reason);
 
-    /// A call to a server has ended before its answer did.
+    /// Logs and reports a call whose connection ended before the answer was
+    /// complete.
     void record_broken_call(
         const std::string& server_id, base::steady_time sent) const;
-    /// A server has run the request and its answer is whole.
+    /// Reports that a server has run the request and sent a complete answer.
     void record_complete_answer() const;
 
-    /// @return true if an answer is this request's own: a surplus answer to an
-    /// earlier one may come first. A rejection may lack the ID.
+    /// @return true if the answer belongs to this request. On a reused
+    /// connection a surplus answer to an earlier request may arrive first. A
+    /// rejection may lack the request ID.
     bool is_answer_to_request(const http1::response_head& head) const;
 
     std::string organisation_name() const; ///< Empty if none.
@@ -142,7 +152,7 @@
     void on_deadline();
     void request_usage();
     void on_usage_grant(const usage_grant& grant);
-    /// Returns what was granted to a request that has not run.
+    /// Refunds the grant of a request that has not run.
     void return_usage();
     void send_router_answer(
         int status, std::string_view reason,
@@ -155,17 +165,18 @@
     std::unique_ptr<usage_ticket> usage_ticket_;
     usage_grant usage_;
     base::milliseconds first_byte_{0};
-    /// From the arrival to the first call.
+    /// Time from the arrival of the request to its first call.
     std::optional<base::milliseconds> first_send_;
 };
 
-/// @return an exchange for a request of the route.
+/// @return an exchange for a request to the given route and service.
 std::unique_ptr<exchange> make_exchange(
     router_context& context, answer_sink& sink, caller_request request,
     const std::shared_ptr<const traffic::configuration>& config,
     const traffic::route& route, const traffic::service& service);
 
-/// @return the answer to a request that no exchange was made for.
+/// @return the serialized refusal of a request that no exchange was created
+/// for.
 std::string serialize_refusal(
     const router_context& context, int status, const std::string& request_id,
     std::string_view reason, std::optional<base::milliseconds> retry_after,
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/placer.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/placer.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// How requests get their servers where another instance may choose.
+/// Interface for choosing the servers of a request, possibly on another
+/// instance.
 #ifndef MINTKNOT_RELAY_PLACER_HPP
 #define MINTKNOT_RELAY_PLACER_HPP
 
@@ -15,17 +16,18 @@
 
 using placement_handler = std::function<void(const policy::placement&)>;
 
-/// Chooses servers for requests, perhaps by asking other instances.
+/// Chooses servers for requests, possibly by querying other instances.
 class placer {
 public:
     virtual ~placer() = default;
 
-    /// @return true if questions go to schedulers at present; else callers
-    /// choose for themselves.
+    /// @return true if requests are currently placed by schedulers; otherwise
+    /// the instance that has a request chooses its servers itself.
     virtual bool active() const = 0;
 
-    /// Asks for servers. `then` is called once, not from within and not after
-    /// the ticket has gone; an empty placement says that there is no room.
+    /// Requests servers. `then` is called once, but not before this returns and
+    /// not after the ticket is destroyed. An empty placement means that no
+    /// server has free capacity.
     virtual std::unique_ptr<placement_ticket> request_placement(
         policy::placement_query query, placement_handler then) = 0;
 };
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/release_queue.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/release_queue.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Frees kept prefill results that will not be used.
+/// Releases prefill results on engines that will not be used.
 #ifndef MINTKNOT_RELAY_RELEASE_QUEUE_HPP
 #define MINTKNOT_RELAY_RELEASE_QUEUE_HPP
 
@@ -13,8 +13,9 @@
 
 namespace mintknot::relay {
 
-/// Sends each release once; a result lapses by itself soon after. The number
-/// of releases in flight is bounded, further ones are left to lapse.
+/// Sends each release call once, without retries: an engine discards an unused
+/// result by itself after a short time. The number of calls in flight is
+/// bounded; results beyond the bound are left to expire.
 class release_queue {
 public:
     release_queue(upstream::connection_pool& pool, const dialect& protocol);
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/ticket.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/ticket.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What holds a question to another instance open.
+/// Handles of asynchronous queries to other instances.
 #ifndef MINTKNOT_RELAY_TICKET_HPP
 #define MINTKNOT_RELAY_TICKET_HPP
 
@@ -9,16 +9,19 @@
 
 namespace mintknot::relay {
 
-/// A question that is under way. Destroying it withdraws the question.
+/// Handle of a pending query. Destroying it cancels the query.
 class ticket {
 public:
     virtual ~ticket() = default;
 };
 
-/// Calls a function when it goes, unless whoever was asked has gone before.
+/// Calls a function on destruction unless the object that handles the query has
+/// been destroyed before.
 class cancelling_ticket final : public ticket {
 public:
-    /// @param alive lives as long as whoever was asked.
+    /// @param alive expires when the object that handles the query is
+    /// destroyed.
+    /// @param cancel called on destruction.
     cancelling_ticket(
         std::weak_ptr<const void> alive, std::function<void()> cancel)
         : alive_(std::move(alive))
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/usage_limiter.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/usage_limiter.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// How requests ask whether their organisation may use more.
+/// Interface through which requests draw on the usage limit of their
+/// organisation.
 #ifndef MINTKNOT_RELAY_USAGE_LIMITER_HPP
 #define MINTKNOT_RELAY_USAGE_LIMITER_HPP
 
@@ -14,34 +15,36 @@
 
 namespace mintknot::relay {
 
-/// A part of an organisation's limit that one request may use.
+/// The share of an organisation's usage limit that is granted to one request.
 struct usage_grant {
     bool granted = false;
     base::milliseconds retry_after{0}; ///< Set unless granted.
     double cost = 0.0;                 ///< In the unit of the limit.
-    /// Which account it was drawn from, for the way back: the host that keeps
-    /// it, the kind of account and the number of the question.
+    /// The account that the grant was drawn from, needed for a refund: the host
+    /// that holds it (the keeper of the account or a deputy), the kind of
+    /// account and the number of the query.
     std::string keeper;
     int account = 0;
     std::uint64_t number = 0;
 };
 
-/// What is granted to a question that was withdrawn goes back.
+/// Handle of a pending grant request. A grant that arrives after the ticket is
+/// destroyed is refunded.
 using usage_ticket = ticket;
 
 using usage_handler = std::function<void(const usage_grant&)>;
 
-/// Keeps organisations within their limits over all instances.
+/// Enforces the usage limits of organisations across all instances.
 class usage_limiter {
 public:
     virtual ~usage_limiter() = default;
 
-    /// Asks for a grant. `then` is called once, not from within and not after
-    /// the ticket has gone.
+    /// Requests a grant. `then` is called once, but not before this returns and
+    /// not after the ticket is destroyed.
     virtual std::unique_ptr<usage_ticket> request_grant(
         const traffic::organisation& who, double cost, usage_handler then) = 0;
 
-    /// Gives back what a request has not used: it has not run.
+    /// Refunds the grant of a request that has not run.
     virtual void
     refund(const std::string& organisation, const usage_grant& unused) = 0;
 };
--- a/libs/mintknotd-platform/relay/src/answer_status.hpp
+++ b/libs/mintknotd-platform/relay/src/answer_status.hpp
@@ -1,18 +1,18 @@
 /// @file
-/// Statuses of servers' answers that the exchanges tell apart.
+/// Classification of the HTTP status of servers' answers.
 #ifndef MINTKNOT_RELAY_ANSWER_STATUS_HPP
 #define MINTKNOT_RELAY_ANSWER_STATUS_HPP
 
 namespace mintknot::relay {
 
-/// Another server has the address; the request has not run there.
+/// The address now belongs to another server, which has not run the request.
 inline constexpr int status_misdirected = 421;
 
 inline bool is_success(int status) noexcept {
     return status >= 200 && status < 300;
 }
 
-/// The server has failed at the request; another one may do better.
+/// The server failed to process the request; another server may succeed.
 inline bool is_server_failure(int status) noexcept {
     return status >= 500;
 }
--- a/libs/mintknotd-platform/relay/src/exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/exchange.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// Of a caller that names none: far beyond any route's timeout, which then
-/// decides.
+/// Deadline of a request that states none. It is far beyond the timeout of any
+/// route, so that the route's timeout applies.
 constexpr base::milliseconds default_deadline{60000};
 
 constexpr std::string_view crashes_servers = "crashes_servers";
--- a/libs/mintknotd-platform/relay/src/generation_decode.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_decode.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The part of a generation exchange that runs the request and passes the
-/// events on.
+/// The decode phase of a generation exchange: sends the decode call and
+/// forwards its events.
 
 #include "answer_status.hpp"
 #include "generation_exchange.hpp"
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Of an answer that is no stream, kept to be delivered or logged.
+/// Bytes kept of an answer that is not a stream, for the caller or the log.
 constexpr std::size_t max_failure_bytes = 64 * 1024;
 
 } // namespace
@@ -106,7 +106,7 @@
                         !decode_.terms.has_content_coding;
     if (!decode_.streaming)
         return;
-    // The engine has taken the result over.
+    // The decode engine has taken over the prefill result.
     kept_ = {};
     raise_verdict(base::verdict::ran);
 }
@@ -184,7 +184,7 @@
 }
 
 void generation_exchange::finish_stream() {
-    // Whatever follows the last event belongs to the body all the same.
+    // Bytes after the last complete event still belong to the body.
     forward_events(decode_.splitter.rest);
     decode_.splitter.rest.clear();
     note_result(
--- a/libs/mintknotd-platform/relay/src/generation_decode_end.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_decode_end.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The part of a generation exchange that follows the end of a decode call:
-/// what it tells of the engine, and where the request goes next.
+/// The end of a decode call in a generation exchange: records the result for
+/// the engine and performs the next step.
 
 #include "answer_status.hpp"
 #include "generation_exchange.hpp"
@@ -19,7 +19,8 @@
             : policy::call_result::rejected,
         request_.terms.id);
     log_rejection();
-    // It speaks of itself and not of the request: it may be tried again later.
+    // An engine at rest (a backoff that the server asks for) rejects all
+    // requests, not this one in particular: it may be tried again later.
     if (policy::rests(
             context_.state.health.resting, decode_.server, context_.loop.now()))
         decode_.tried.erase(decode_.server);
@@ -65,8 +66,8 @@
 void generation_exchange::on_decode_silence() {
     const policy::next_step step =
         policy::after_decode_call(policy::call_end::silent, route_, attempts_);
-    // Silence alone does not end an answer: the engine is left only where the
-    // request may go on elsewhere, within the allowance.
+    // Silence alone does not end an answer. The call is cancelled only if the
+    // request may continue on another engine and the allowance covers that.
     if (step.what == policy::action::keep_waiting || !prepay(1)) {
         note_result(
             context_, decode_.server, policy::call_result::silent,
@@ -74,7 +75,7 @@
         return;
     }
     raise_verdict(base::verdict::may_have_run);
-    // The engine drops the request when its connection closes.
+    // The engine stops processing the request when its connection closes.
     decode_.call.reset();
     after_decode(policy::call_end::silent, policy::call_result::silent);
 }
--- a/libs/mintknotd-platform/relay/src/generation_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_exchange.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// In a log line: no room was to be foreseen.
+/// Value in a log line if the wait for capacity cannot be predicted.
 constexpr base::milliseconds unknown_wait{-1};
 
 } // namespace
@@ -88,8 +88,8 @@
         traffic::find(context_.state.servers, placed.server);
     if (decode == nullptr || !may_send_to(context_, *decode)) {
         policy::room_summary seen = placed.room;
-        // A scheduler that does not know yet that the engine leaves will name
-        // another one shortly.
+        // The scheduler does not know yet that the engine takes no new
+        // requests; it will choose another one shortly.
         if (!placed.server.empty())
             seen.forecast.wait = base::milliseconds{0};
         wait_for_capacity(seen);
@@ -137,7 +137,7 @@
     const base::milliseconds start =
         policy::mean_start(context_.state.demands[service_.name]);
     const policy::unplaced_request unplaced = describe_unplaced();
-    // A stream that has begun is worth waiting for, whatever is foreseen.
+    // A stream that has begun waits even if no capacity is predicted in time.
     if (attempts_.answer_begun ||
         policy::should_wait(unplaced, expected, start)) {
         join_queue(!policy::can_meet_target(unplaced, expected, start));
--- a/libs/mintknotd-platform/relay/src/generation_exchange.hpp
+++ b/libs/mintknotd-platform/relay/src/generation_exchange.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// A request whose prompt one engine reads and whose answer another makes.
+/// A request that is processed in two phases: one engine prefills the prompt,
+/// another one decodes the answer.
 #ifndef MINTKNOT_RELAY_GENERATION_EXCHANGE_HPP
 #define MINTKNOT_RELAY_GENERATION_EXCHANGE_HPP
 
@@ -9,11 +10,12 @@
 
 namespace mintknot::relay {
 
-/// Chooses a decode engine with room, has a prefill engine read the prompt,
-/// hands the result over and passes the events on. Reading may be repeated
-/// freely; decoding is what runs the request. A resumable stream goes on at
-/// another engine behind the last event that was passed on. The rules are in
-/// policy: admission, attempts, call_charges, engine_needs, timeouts.
+/// Chooses a decode engine with enough free memory, has a prefill engine
+/// process the prompt, hands the result over and forwards the events. A prefill
+/// may be retried freely; only a decode counts as running the request. A
+/// resumable stream continues on another engine after the last event that was
+/// forwarded. The rules are in policy: admission, attempts, call_charges,
+/// engine_needs, timeouts.
 class generation_exchange final : public exchange {
 public:
     generation_exchange(
@@ -25,7 +27,7 @@
     void on_sink_writable() override;
 
 private:
-    /// The prefill call at hand, and what earlier ones leave behind.
+    /// State of the current prefill call, and the engines tried so far.
     struct prefill_state {
         std::unique_ptr<upstream::call> call;
         std::string server; ///< Empty if no call is in flight.
@@ -46,7 +48,7 @@
         base::steady_time expires_at;
     };
 
-    /// The decode call at hand, and what earlier ones leave behind.
+    /// State of the current decode call, and the engines tried so far.
     struct decode_state {
         std::unique_ptr<upstream::call> call;
         std::string server; ///< Where memory is reserved; empty if nowhere.
@@ -66,41 +68,44 @@
     void cancel_calls() override;
     bool may_be_running() const override;
 
-    /// What the request needs now.
+    /// @return what the request needs in its current state.
     policy::placement_query query() const;
-    /// Places the request, or joins the queue.
+    /// Requests a placement; on_placed() continues with the result.
     void place();
     void on_placed(const policy::placement& placed);
-    /// A scheduler that is cut off from the store may name an engine that is
-    /// known here to leave. @return true if it has not done so before for this
-    /// request; the engine is ruled out from now on.
+    /// Excludes the prefill engine of a placement if this instance knows that
+    /// it takes no new requests. A scheduler that is cut off from the store may
+    /// still choose it. @return true if the engine was excluded by this call.
     bool exclude_leaving_prefill(const policy::placement& placed);
-    /// @param seen by the last choice.
+    /// Joins the wait queue, or refuses the request if waiting is not worth it.
+    /// @param seen the free capacity of the engines, from the last placement.
     void wait_for_capacity(const policy::room_summary& seen);
-    /// Engines are there, but too many connections have failed in a row.
+    /// Pauses before the next placement, or refuses the request: engines exist,
+    /// but too many connections in a row have failed.
     void wait_for_connection();
     policy::unplaced_request describe_unplaced() const;
     policy::queue_rank rank(bool late) const;
-    /// @return the wait behind all that go before.
+    /// @return the expected wait behind all requests ahead in the queues; empty
+    /// if it cannot be predicted.
     std::optional<base::milliseconds>
     expected_wait(const policy::room_forecast& forecast) const;
     void join_queue(bool late);
-    /// @return what a refusal for want of room tells the caller.
+    /// @return when a caller that is refused for lack of capacity may retry.
     base::milliseconds retry_after(
         const policy::room_forecast& forecast,
         std::optional<base::milliseconds> expected);
     void log_no_capacity(
         const policy::room_summary& seen,
         std::optional<base::milliseconds> expected);
-    /// @return true if a kept result can still be handed over.
+    /// @return true if a kept prefill result can still be handed over.
     bool result_usable() const;
-    /// Takes repeats out of the allowance until so many are prepaid.
-    /// @return false if it is spent; what was taken stays prepaid.
+    /// Takes retries from the allowance until the given number is prepaid.
+    /// @return false if the allowance is spent; retries taken stay prepaid.
     bool prepay(int retries);
     void release_decode();
     double memory_needed() const;
 
-    /// @param ahead tokens that the engine reads before.
+    /// @param ahead prompt tokens that are queued on the engine before these.
     void start_prefill(const traffic::server& engine, double ahead);
     void log_prefill() const;
     void on_prefill_done();
@@ -113,8 +118,9 @@
     void end_prefill();
 
     void start_decode();
-    /// @return true if the engine was named by a scheduler so long ago that it
-    /// may have said since that it leaves, and nobody would tell this instance.
+    /// @return true if a scheduler chose the decode engine too long ago. An
+    /// instance without the full server table is not told when an engine stops
+    /// taking requests in the meantime.
     bool placement_expired() const;
     void log_decode() const;
     void send_decode(const traffic::server& engine);
@@ -127,18 +133,18 @@
     void after_rejected_decode();
     void log_rejection() const;
     void watch_silence();
-    /// Tells how much of the engine a finished decode has taken.
+    /// Records the memory share and time that a finished decode took.
     void record_demand();
-    /// The decode has ended so: asks what comes next, and does it.
+    /// Records how the decode call ended, then performs the next step.
     void after_decode(policy::call_end end, policy::call_result result);
     void apply_step(const policy::next_step& step);
     void resume(std::string_view reason);
 
-    /// Takes how long it took until the first event.
+    /// Records the time until the first event.
     void record_start_times();
     void forward_events(const std::string& events);
     void send_head();
-    /// Frees a kept result that will not be used.
+    /// Releases a kept prefill result that will not be used.
     void release_result();
 
     std::unique_ptr<placement_ticket> placement_;
--- a/libs/mintknotd-platform/relay/src/generation_prefill.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_prefill.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The part of a generation exchange that has the prompt read.
+/// The prefill phase of a generation exchange.
 
 #include "answer_status.hpp"
 #include "generation_exchange.hpp"
--- a/libs/mintknotd-platform/relay/src/plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Answers up to this size are held until they are whole.
+/// Answers up to this size are buffered until they are complete.
 constexpr std::size_t max_buffered_bytes = 256 * 1024;
 
 } // namespace
@@ -62,8 +62,8 @@
         traffic::find(context_.state.servers, placed.server);
     const bool unavailable =
         chosen != nullptr && !may_send_to(context_, *chosen);
-    // A scheduler that does not know yet that the server leaves, or that its
-    // data centre is closed, names another one.
+    // The scheduler may not know yet that the server takes no new requests or
+    // that its data centre is closed: excluded, it is not chosen again.
     if (unavailable && tried_.insert(chosen->id).second)
         place();
     else if (chosen == nullptr || unavailable)
--- a/libs/mintknotd-platform/relay/src/plain_exchange.hpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A request that one call to a server answers.
+/// A request that is answered by a single call to a server.
 #ifndef MINTKNOT_RELAY_PLAIN_EXCHANGE_HPP
 #define MINTKNOT_RELAY_PLAIN_EXCHANGE_HPP
 
@@ -7,9 +7,10 @@
 
 namespace mintknot::relay {
 
-/// Sends the request to a server and its answer back. Small answers are held
-/// until they are whole, so that a broken one can still be replaced. What
-/// follows each call is the rule of policy::after_plain_call().
+/// Forwards the request to a server and the answer to the caller. Small answers
+/// are buffered until they are complete, so that the request can still be
+/// retried if the connection breaks. policy::after_plain_call() decides what
+/// follows each call.
 class plain_exchange final : public exchange {
 public:
     plain_exchange(
@@ -35,13 +36,13 @@
     void on_silence();
     void start_streaming();
 
-    /// @return what a whole answer means for the next step.
+    /// @return how a complete answer counts for the choice of the next step.
     policy::call_end end_of_answer() const;
-    /// The call has ended so: asks what comes next, and does it.
+    /// Records how the call ended, then performs the next step.
     void after_call(policy::call_end end, policy::call_result result);
     policy::next_step next_step(policy::call_end end) const;
     void apply_step(const policy::next_step& step);
-    /// Does a step that ends the exchange.
+    /// Performs a step that ends the exchange.
     void end_with_step(policy::action what, const policy::next_step& step);
     void release_load();
 
--- a/libs/mintknotd-platform/relay/tests/relay_fixture.hpp
+++ b/libs/mintknotd-platform/relay/tests/relay_fixture.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// A router with scripted backend servers and callers, all on one loop.
+/// Test fixture: a router, scripted backend servers and callers on one event
+/// loop.
 #ifndef MINTKNOT_RELAY_TESTS_RELAY_FIXTURE_HPP
 #define MINTKNOT_RELAY_TESTS_RELAY_FIXTURE_HPP
 
@@ -19,7 +20,7 @@
 
 namespace mintknot::relay::tests {
 
-/// Short names for the fields that a real dialect has.
+/// A dialect with short header names.
 class test_dialect final : public dialect {
 public:
     request_terms read_request(const http1::request_head& head) const override;
@@ -47,7 +48,7 @@
         std::optional<base::milliseconds> retry_after) const override;
 };
 
-/// What a caller has seen on its connection.
+/// What a caller has received on its connection.
 struct caller_view {
     std::string text;      ///< All bytes received.
     int status = 0;        ///< Status of the first answer.
@@ -57,20 +58,23 @@
     std::string field(std::string_view name) const;
 };
 
+/// A router whose entry server listens on the loopback interface. Its
+/// configuration has the routes `safe`, `unsafe`, `stream` and `resume`.
 class relay_fixture {
 public:
     relay_fixture();
     ~relay_fixture();
 
-    /// Adds a server to the table. @return the scripted server.
+    /// Starts a scripted server and adds it to the server table.
     scripted_server& add_server(
         const std::string& id, const std::string& service,
         traffic::engine_phase phase, script behaviour);
-    /// Adds a server that nothing listens for.
+    /// Adds a server that refuses all connections to the server table.
     void add_dead_server(const std::string& id, const std::string& service);
 
-    /// Sends the bytes and waits for the first whole answer, the end of the
-    /// connection or, if given, until the condition holds.
+    /// Sends the bytes on a new connection. Waits until the connection ends or,
+    /// if `until` is given, until it holds, or else until the first answer is
+    /// complete.
     caller_view ask(const std::string& bytes, std::function<bool()> until = {});
     /// Opens a connection that sends nothing.
     event::connection_ptr connect_idle();
@@ -87,7 +91,7 @@
     router_context context;
     std::unique_ptr<entry_server> entry;
     traffic::configuration config;
-    /// Takes over changes of `config`.
+    /// Makes the router use the current contents of `config`.
     void configure();
 
 private:
@@ -99,21 +103,24 @@
     std::uint64_t version_ = 0;
 };
 
-/// @return a request of a caller.
+/// @return a POST request of a caller.
 std::string
 request(const std::string& path, const std::string& fields = "Id: r1\r\n");
 
-/// @return a sealed answer to the request.
+/// @return an answer to the request that carries the server's signature.
 std::string
 answer_to(const received& to, const std::string& body, int status = 200);
-/// @return an answer that says that the request has not run.
+/// @return an answer that states that the request has not run.
 std::string rejection_of(const received& to);
 
-/// Answers as an engine of the phase does: a handle, or three events.
+/// @return a prefill engine that answers with the handle of a result.
 script good_prefill(const std::string& handle);
+/// @return a decode engine that streams the events 1 to 3, or those after the
+/// event to resume from.
 script good_decode();
-/// @return the event with that ID.
+/// @return the text of the event with the given ID.
 std::string event_text(int id);
+/// @return the head of an event stream that answers the request.
 std::string stream_head(const received& to);
 
 } // namespace mintknot::relay::tests
--- a/libs/mintknotd-platform/relay/tests/scripted_placer.hpp
+++ b/libs/mintknotd-platform/relay/tests/scripted_placer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A scheduler that names what a test tells it to.
+/// A placer whose placements are chosen by a function of the test.
 #ifndef MINTKNOT_RELAY_TESTS_SCRIPTED_PLACER_HPP
 #define MINTKNOT_RELAY_TESTS_SCRIPTED_PLACER_HPP
 
@@ -11,6 +11,7 @@
 
 namespace mintknot::relay::tests {
 
+/// Always active; answers each request at once with the test's function.
 class scripted_placer final : public placer {
 public:
     using answer =
--- a/libs/mintknotd-platform/relay/tests/test_generation_exchange.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_generation_exchange.cpp
@@ -24,7 +24,8 @@
     };
 }
 
-/// Sends one event and a part of the next, then ends the connection.
+/// Sends one event and a part of the next, then resets or closes the
+/// connection.
 script interrupting(bool reset) {
     return [reset](const received& to, const event::connection_ptr& link) {
         link->write(
@@ -171,7 +172,7 @@
 
 Test(generation_exchange, waits_for_capacity_that_is_expected_in_time) {
     relay_fixture f;
-    // Requests end soon, so that room is expected in time.
+    // Decodes are short, so that capacity is expected in time.
     for (int i = 0; i < 100; ++i)
         policy::note_decode(
             f.context.state.demands["llm"], 0.5, base::milliseconds(100));
@@ -189,8 +190,8 @@
     relay_fixture f;
     f.add_server("p", "llm", prefill, good_prefill("k1"));
     f.add_server("d", "llm", decode, good_decode());
-    // 9,000 tokens that are held for ten seconds each: 4,300 of them are set
-    // free after 4.8 s, where the target is a second.
+    // 9,000 tokens are held for ten seconds each: 4,300 of them become free
+    // after 4.8 s, but the target is one second.
     for (int i = 0; i < 300; ++i)
         policy::note_decode(
             f.context.state.demands["llm"], 0.5, base::milliseconds(10000));
@@ -214,7 +215,7 @@
 
 namespace {
 
-/// Makes an engine leave, or closes its data centre.
+/// Marks an engine as draining, or closes its data centre.
 void make_unavailable(relay_fixture& f, const std::string& id, bool closes) {
     traffic::server_table& servers = f.context.state.servers;
     traffic::server row = *traffic::find(servers, id);
@@ -229,8 +230,8 @@
 Test(
     generation_exchange,
     a_draining_engine_gets_no_prefill_from_a_stale_scheduler) {
-    // Found by a hunt: a scheduler that the store had turned away named an
-    // engine that the others knew to leave.
+    // A scheduler that the store had rejected chose an engine that other
+    // instances knew to be draining, and the prompt was sent there.
     scripted_placer scheduler([](const policy::placement_query& query) {
         const bool excluded = query.excluded_prefill.contains("leaving");
         return policy::placement{
@@ -252,9 +253,9 @@
 }
 
 Test(generation_exchange, an_expired_placement_is_requested_again) {
-    // An instance that holds no rows learns of engines by the names that
-    // schedulers give it: while the prompt is read the engine may say that it
-    // leaves, and only the scheduler hears it.
+    // An instance without server rows knows engines only from placements. If
+    // the decode engine starts to drain during the prefill, only the scheduler
+    // learns of it.
     bool leaves = false;
     scripted_placer scheduler([&](const policy::placement_query& query) {
         const bool needs_prefill =
@@ -263,7 +264,7 @@
             .server = leaves ? "stays" : "leaves",
             .prefill = needs_prefill ? "p" : ""};
     });
-    // Well below the time after which a prefill counts as silent.
+    // Well below the timeout of a silent prefill.
     constexpr base::milliseconds prefill_duration{60};
     for (const bool partial : {false, true}) {
         leaves = false;
@@ -291,7 +292,8 @@
         f.context.options.named_server_life = prefill_duration / 2;
         f.context.state.servers.partial = partial;
         cr_assert(f.ask(prompt("/stream/x")).body == all_events);
-        // Who holds the rows would know it.
+        // An instance with server rows would have learned it from them, so that
+        // it uses the placement.
         cr_assert((after_leaving == 0) == partial);
     }
 }
@@ -388,7 +390,7 @@
     relay_fixture f;
     scripted_server& p = f.add_server("p", "llm", prefill, good_prefill("k1"));
     f.add_server("d", "llm", decode, good_decode());
-    // 14,000 tokens at 20 a millisecond: 700 of the target of 1,000 ms.
+    // 14,000 tokens at 20 per millisecond take 700 ms; the target is 1,000 ms.
     traffic::add(f.context.state.loads, "p", {1, 14000.0, 0.0});
     cr_assert(f.ask(prompt("/stream/x")).body == all_events);
     cr_assert(p.requests.size() == 1);
@@ -397,8 +399,8 @@
 Test(
     generation_exchange,
     a_request_that_may_be_running_waits_beyond_its_target) {
-    // Found on nucleos-gt trouble-1: after the loss of power of all instances,
-    // sixteen streams were given up as an engine was silent for a second.
+    // After all instances had lost power, an engine was silent for a second,
+    // and sixteen streams were given up instead of waiting for another engine.
     relay_fixture f;
     for (int i = 0; i < 100; ++i)
         policy::note_decode(
@@ -417,8 +419,8 @@
 Test(
     generation_exchange,
     a_waiting_request_is_refused_before_its_caller_leaves) {
-    // Found on norrvik-drift-large trouble-1: after a rejected decode a request
-    // waited for room until its caller had gone, and so could not come back.
+    // After a rejected decode a request waited for capacity until its caller
+    // had disconnected: the refusal with its Retry-After came too late.
     relay_fixture f;
     for (traffic::route& route : f.config.routes)
         route.target_latency = base::milliseconds(200);
@@ -441,8 +443,8 @@
 }
 
 Test(generation_exchange, every_call_after_the_first_is_charged) {
-    // Found by a score of fvmcw-proto: a decode after a rejected prefill was
-    // not charged, and the bound of all instances was broken.
+    // A decode after a rejected prefill was not charged to the retry allowance,
+    // so that all instances together exceeded the retry bound.
     relay_fixture f;
     f.context.state.retry_bounds = {0.0, 0.0, base::milliseconds(10000)};
     scripted_server& p = f.add_server("p", "llm", prefill, rejecting());
@@ -489,8 +491,8 @@
 }
 
 Test(generation_exchange, no_prefill_is_sent_without_allowance_for_the_decode) {
-    // Found on fvmcw-proto trouble-2: after a lost prefill another engine read
-    // the prompt, and then there was no allowance left for the decode.
+    // After a lost prefill a second engine processed the prompt, but then no
+    // retry allowance was left for the decode.
     relay_fixture f;
     f.context.state.retry_bounds = {0.0, 0.0, base::milliseconds(10000)};
     const script broken = [](const received&,
--- a/libs/mintknotd-platform/relay/tests/test_plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_plain_exchange.cpp
@@ -35,7 +35,7 @@
     return [](const received&, const event::connection_ptr&) {};
 }
 
-/// @return how many requests all servers have seen.
+/// @return the number of requests that the servers have received.
 std::size_t total_requests(const std::vector<scripted_server*>& servers) {
     std::size_t count = 0;
     for (const scripted_server* server : servers)
