--- a/libs/mintknotd-platform/relay/include/mintknot/relay/exchange.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/exchange.hpp
@@ -128,8 +128,8 @@
     bool is_answer_to_request(const http1::response_head& head) const;
 
     std::string organisation_name() const; ///< Empty if none.
-    call_terms terms_for(const traffic::server& server) const;
-    upstream::call_request call_for(const call_terms& terms) const;
+    call_terms call_options_for(const traffic::server& server) const;
+    upstream::call_request call_for(const call_terms& options) const;
 
     router_context& context_;
     answer_sink& sink_;
--- a/libs/mintknotd-platform/relay/src/exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/exchange.cpp
@@ -336,17 +336,17 @@
                                             : request_.organisation->name;
 }
 
-call_terms exchange::terms_for(const traffic::server& server) const {
-    call_terms terms;
-    terms.server_id = server.id;
-    terms.time_left = time_left();
-    terms.hides_key = config_->organisations != nullptr;
-    terms.organisation = organisation_name();
-    return terms;
+call_terms exchange::call_options_for(const traffic::server& server) const {
+    call_terms options;
+    options.server_id = server.id;
+    options.time_left = time_left();
+    options.hides_key = config_->organisations != nullptr;
+    options.organisation = organisation_name();
+    return options;
 }
 
-upstream::call_request exchange::call_for(const call_terms& terms) const {
-    return {context_.protocol.outgoing(request_.head, terms), request_.body};
+upstream::call_request exchange::call_for(const call_terms& options) const {
+    return {context_.protocol.outgoing(request_.head, options), request_.body};
 }
 
 std::unique_ptr<exchange> make_exchange(
--- a/libs/mintknotd-platform/relay/src/generation_decode.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_decode.cpp
@@ -77,12 +77,12 @@
 }
 
 void generation_exchange::send_decode(const traffic::server& engine) {
-    call_terms terms = terms_for(engine);
-    terms.resume_after = last_event_;
+    call_terms options = call_options_for(engine);
+    options.resume_after = last_event_;
     if (decode_.used_result)
-        terms.prefill_result = kept_.location;
+        options.prefill_result = kept_.location;
     decode_.call = upstream::call::start(
-        context_.pool, {engine.id, engine.where}, call_for(terms), {},
+        context_.pool, {engine.id, engine.where}, call_for(options), {},
         {[this](const http1::response_head& head) {
              return is_answer_to_request(head);
          },
@@ -100,10 +100,10 @@
 
 void generation_exchange::on_decode_head(http1::response_head& head) {
     decode_.answer = head;
-    decode_.terms = context_.protocol.read_answer(head);
+    decode_.metadata = context_.protocol.read_answer(head);
     decode_.streaming = is_success(head.status) &&
-                        decode_.terms.has_signature &&
-                        !decode_.terms.has_content_coding;
+                        decode_.metadata.has_signature &&
+                        !decode_.metadata.has_content_coding;
     if (!decode_.streaming)
         return;
     // The decode engine has taken over the prefill result.
@@ -169,14 +169,14 @@
         return;
     }
     decode_.call.reset();
-    if (decode_.terms.not_executed ||
+    if (decode_.metadata.not_executed ||
         decode_.answer.status == status_misdirected) {
         after_rejected_decode();
         return;
     }
     raise_verdict(base::verdict::ran);
-    const bool unusable =
-        is_success(decode_.answer.status) || decode_.terms.has_content_coding;
+    const bool unusable = is_success(decode_.answer.status) ||
+                          decode_.metadata.has_content_coding;
     after_decode(
         unusable ? policy::call_end::bad_answer
                  : policy::call_end::server_failure,
--- a/libs/mintknotd-platform/relay/src/generation_exchange.hpp
+++ b/libs/mintknotd-platform/relay/src/generation_exchange.hpp
@@ -33,7 +33,7 @@
         std::string server; ///< Empty if no call is in flight.
         std::string body;
         int status = 0;
-        answer_terms terms;
+        answer_terms metadata;
         base::steady_time started_at;
         base::milliseconds expected{0};
         double tokens_ahead = 0.0; ///< Queued on the engine before this one.
@@ -56,7 +56,7 @@
         base::steady_time placed_at;
         base::steady_time started_at;
         http1::response_head answer;
-        answer_terms terms;
+        answer_terms metadata;
         std::string failure_body;
         bool streaming = false;   ///< The current answer is an event stream.
         bool used_result = false; ///< The call uses a kept prefill result.
--- a/libs/mintknotd-platform/relay/src/generation_prefill.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_prefill.cpp
@@ -29,18 +29,18 @@
     record_send();
     add_load(context_, prefill_.server, {1, tokens, 0.0});
     log_prefill();
-    call_terms terms = terms_for(engine);
-    terms.stage = call_stage::prefill;
+    call_terms options = call_options_for(engine);
+    options.stage = call_stage::prefill;
     kept_ = {};
     kept_.location = base::to_string(engine.where);
     prefill_.call = upstream::call::start(
-        context_.pool, {engine.id, engine.where}, call_for(terms), {},
+        context_.pool, {engine.id, engine.where}, call_for(options), {},
         {[this](const http1::response_head& head) {
              return is_answer_to_request(head);
          },
          [this](http1::response_head& head) {
              prefill_.status = head.status;
-             prefill_.terms = context_.protocol.read_answer(head);
+             prefill_.metadata = context_.protocol.read_answer(head);
          },
          [this](std::string_view piece) {
              if (prefill_.body.size() < max_result_bytes)
@@ -84,7 +84,7 @@
             : std::nullopt;
     if (!result) {
         const bool misdirected = prefill_.status == status_misdirected;
-        const bool rejected = prefill_.terms.not_executed;
+        const bool rejected = prefill_.metadata.not_executed;
         after_failed_prefill(
             misdirected ? policy::call_result::misdirected
             : rejected  ? policy::call_result::rejected
--- a/libs/mintknotd-platform/relay/src/plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.cpp
@@ -82,7 +82,7 @@
     ++attempts_.runs;
     record_send();
     answer_ = {};
-    answer_terms_ = {};
+    answer_metadata_ = {};
     body_.clear();
     context_.log.write(
         "sent", {{"request", request_.terms.id},
@@ -94,8 +94,8 @@
                  {"config", static_cast<std::int64_t>(config_->version)},
                  {"left_ms", time_left().count()}});
     call_ = upstream::call::start(
-        context_.pool, {server.id, server.where}, call_for(terms_for(server)),
-        {},
+        context_.pool, {server.id, server.where},
+        call_for(call_options_for(server)), {},
         {[this](const http1::response_head& head) {
              return is_answer_to_request(head);
          },
@@ -110,7 +110,7 @@
 void plain_exchange::on_head(http1::response_head& head) {
     silence_timer_.stop();
     answer_ = head;
-    answer_terms_ = context_.protocol.read_answer(head);
+    answer_metadata_ = context_.protocol.read_answer(head);
 }
 
 void plain_exchange::on_body(std::string_view piece) {
@@ -122,8 +122,8 @@
     }
     body_.append(piece);
     const bool stream =
-        answer_terms_.event_stream && answer_terms_.has_signature &&
-        !answer_terms_.has_content_coding && is_success(answer_.status);
+        answer_metadata_.event_stream && answer_metadata_.has_signature &&
+        !answer_metadata_.has_content_coding && is_success(answer_.status);
     if (stream || body_.size() > max_buffered_bytes)
         start_streaming();
 }
@@ -145,11 +145,11 @@
 }
 
 policy::call_end plain_exchange::end_of_answer() const {
-    if (answer_terms_.not_executed || answer_.status == status_misdirected)
+    if (answer_metadata_.not_executed || answer_.status == status_misdirected)
         return policy::call_end::rejected;
     const bool lacks_signature =
-        is_success(answer_.status) && !answer_terms_.has_signature;
-    if (answer_terms_.has_content_coding || lacks_signature)
+        is_success(answer_.status) && !answer_metadata_.has_signature;
+    if (answer_metadata_.has_content_coding || lacks_signature)
         return policy::call_end::bad_answer;
     return is_server_failure(answer_.status) ? policy::call_end::server_failure
                                              : policy::call_end::answered;
@@ -222,7 +222,7 @@
 policy::next_step plain_exchange::next_step(policy::call_end end) const {
     return policy::after_plain_call(
         end, route_, attempts_,
-        {verdict_, answer_terms_.not_executed, time_left()});
+        {verdict_, answer_metadata_.not_executed, time_left()});
 }
 
 void plain_exchange::apply_step(const policy::next_step& step) {
--- a/libs/mintknotd-platform/relay/src/plain_exchange.hpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.hpp
@@ -52,7 +52,7 @@
     base::steady_time sent_at_; ///< When the current call was sent.
     policy::excluded_servers tried_;
     http1::response_head answer_;
-    answer_terms answer_terms_;
+    answer_terms answer_metadata_;
     std::string body_;
     event::timer silence_timer_;
 };
