--- a/libs/mintknotd-platform/relay/include/mintknot/relay/ticket.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/ticket.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What holds a question to another instance open.
+/// Handles of asynchronous queries to other instances.
 #ifndef MINTKNOT_RELAY_TICKET_HPP
 #define MINTKNOT_RELAY_TICKET_HPP
 
@@ -9,30 +9,33 @@
 
 namespace mintknot::relay {
 
-/// A question that is under way. Destroying it withdraws the question.
+/// Handle of a pending query. Destroying it cancels the query.
 class ticket {
 public:
     virtual ~ticket() = default;
 };
 
-/// Calls a function when it goes, unless whoever was asked has gone before.
-class withdrawing_ticket final : public ticket {
+/// Calls a function on destruction unless the object that handles the query has
+/// been destroyed before.
+class cancelling_ticket final : public ticket {
 public:
-    /// @param alive lives as long as whoever was asked.
-    withdrawing_ticket(
-        std::weak_ptr<const void> alive, std::function<void()> withdraw)
+    /// @param alive expires when the object that handles the query is
+    /// destroyed.
+    /// @param cancel called on destruction.
+    cancelling_ticket(
+        std::weak_ptr<const void> alive, std::function<void()> cancel)
         : alive_(std::move(alive))
-        , withdraw_(std::move(withdraw)) {}
-    ~withdrawing_ticket() override {
+        , cancel_(std::move(cancel)) {}
+    ~cancelling_ticket() override {
         if (!alive_.expired())
-            withdraw_();
+            cancel_();
     }
-    withdrawing_ticket(const withdrawing_ticket&) = delete;
-    withdrawing_ticket& operator=(const withdrawing_ticket&) = delete;
+    cancelling_ticket(const cancelling_ticket&) = delete;
+    cancelling_ticket& operator=(const cancelling_ticket&) = delete;
 
 private:
     std::weak_ptr<const void> alive_;
-    std::function<void()> withdraw_;
+    std::function<void()> cancel_;
 };
 
 } // namespace mintknot::relay
--- a/libs/mintknotd-platform/relay/src/generation_decode_end.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_decode_end.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The part of a generation exchange that follows the end of a decode call:
-/// what it tells of the engine, and where the request goes next.
+/// The end of a decode call in a generation exchange: records the result for
+/// the engine and performs the next step.
 
 #include "answer_status.hpp"
 #include "generation_exchange.hpp"
@@ -19,7 +19,8 @@
             : policy::call_result::rejected,
         request_.terms.id);
     log_rejection();
-    // It speaks of itself and not of the request: it may be tried again later.
+    // An engine at rest (a backoff that the server asks for) rejects all
+    // requests, not this one in particular: it may be tried again later.
     if (policy::rests(
             context_.state.health.resting, decode_.server, context_.loop.now()))
         decode_.tried.erase(decode_.server);
@@ -29,9 +30,9 @@
     if (step.what == policy::action::send_again) {
         context_.metrics.count_repeat(step.reason);
         if (policy::distrusts_result(attempts_))
-            drop_result();
+            release_result();
     }
-    take(step);
+    apply_step(step);
 }
 
 void generation_exchange::log_rejection() const {
@@ -57,24 +58,24 @@
             policy::call_end::unreachable, policy::call_result::unreachable);
         return;
     }
-    raise(base::verdict::may_have_run);
-    note_broken_call(decode_.server, decode_.started);
+    raise_verdict(base::verdict::may_have_run);
+    record_broken_call(decode_.server, decode_.started_at);
     after_decode(policy::call_end::broken_off, policy::call_result::failed);
 }
 
 void generation_exchange::on_decode_silence() {
     const policy::next_step step =
         policy::after_decode_call(policy::call_end::silent, route_, attempts_);
-    // Silence alone does not end an answer: the engine is left only where the
-    // request may go on elsewhere, within the allowance.
+    // Silence alone does not end an answer. The call is cancelled only if the
+    // request may continue on another engine and the allowance covers that.
     if (step.what == policy::action::keep_waiting || !prepay(1)) {
         note_result(
             context_, decode_.server, policy::call_result::silent,
             request_.terms.id);
         return;
     }
-    raise(base::verdict::may_have_run);
-    // The engine drops the request when its connection closes.
+    raise_verdict(base::verdict::may_have_run);
+    // The engine stops processing the request when its connection closes.
     decode_.call.reset();
     after_decode(policy::call_end::silent, policy::call_result::silent);
 }
@@ -83,13 +84,13 @@
     policy::call_end end, policy::call_result result) {
     note_result(context_, decode_.server, result, request_.terms.id);
     release_decode();
-    take(policy::after_decode_call(end, route_, attempts_));
+    apply_step(policy::after_decode_call(end, route_, attempts_));
 }
 
-void generation_exchange::take(const policy::next_step& step) {
+void generation_exchange::apply_step(const policy::next_step& step) {
     switch (step.what) {
     case policy::action::deliver:
-        answer_whole(
+        deliver_answer(
             std::move(decode_.answer), std::move(decode_.failure_body));
         return;
     case policy::action::send_again:
@@ -109,7 +110,7 @@
         return;
     case policy::action::give_up:
     case policy::action::break_off:
-        end_by(step.what, step.reason);
+        end_with_action(step.what, step.reason);
         return;
     }
 }
