--- a/libs/mintknotd-platform/crashes/include/mintknot/crashes/crash_watch.hpp
+++ b/libs/mintknotd-platform/crashes/include/mintknot/crashes/crash_watch.hpp
@@ -16,25 +16,25 @@
 namespace mintknot::crashes {
 
 /// How the watch reaches other instances and asks servers.
-struct watch_ports {
+struct crash_watch_callbacks {
     std::string own_host;
     std::function<void(const std::string& host, const std::string& datagram)>
         send;
     /// @return hosts that put together what all instances tell
     /// (policy::judges_of_crashes).
-    std::function<std::vector<std::string>()> judges;
+    std::function<std::vector<std::string>()> evaluators;
     /// @return hosts of instances that are heard.
     std::function<std::vector<std::string>()> peers;
     /// @return hosts of instances that hear only this one and its like.
-    std::function<std::vector<std::string>()> followers;
+    std::function<std::vector<std::string>()> leaf_hosts;
     /// @return what to ask a server for to see whether it is there; nothing: it
     /// has gone.
     std::function<std::optional<relay::health_check>(const std::string& id)>
-        check_of;
+        health_check_for;
 };
 
 /// Where calls break, asks the server whether it is still there; where it is
-/// not, tells the judges what ran there. Blocks requests by the rule of
+/// not, tells the evaluators what ran there. Blocks requests by the rule of
 /// policy/crash_evidence.hpp, tells all others of blocks at once, and a few of
 /// them now and then while there are any, so that restarted instances and those
 /// that come back from behind a cut learn of them. Sends nothing while no
@@ -43,7 +43,7 @@
 /// Lives on the loop's thread. Everything that is passed in must outlive it.
 class crash_watch final : public relay::crash_guard {
 public:
-    crash_watch(relay::router_context& router, watch_ports ports);
+    crash_watch(relay::router_context& router, crash_watch_callbacks ports);
     ~crash_watch() override;
     crash_watch(const crash_watch&) = delete;
     crash_watch& operator=(const crash_watch&) = delete;
--- a/libs/mintknotd-platform/crashes/src/ended_servers.cpp
+++ b/libs/mintknotd-platform/crashes/src/crash_detector.cpp
@@ -1,4 +1,4 @@
-#include "ended_servers.hpp"
+#include "crash_detector.hpp"
 
 #include <utility>
 
@@ -8,129 +8,132 @@
 
 /// Between two checks of a server that has answered: one that breaks calls and
 /// lives is not to be asked each time.
-constexpr base::milliseconds min_check_gap{1000};
+constexpr base::milliseconds min_check_interval{1000};
 /// Calls that broke a little later than the others belong to the same end.
-constexpr base::milliseconds straggler_time{1000};
+constexpr base::milliseconds late_report_time{1000};
 /// Within this time a server's row shows that it has been started again.
-constexpr base::milliseconds doubt_time{5000};
+constexpr base::milliseconds restart_detection_time{5000};
 /// Runs of one server that are told of.
 constexpr std::size_t max_runs = 64;
 
-std::string life_of(const traffic::server& server) {
+std::string incarnation_of(const traffic::server& server) {
     return server.id + "/" + std::to_string(server.born);
 }
 
 } // namespace
 
-ended_servers::ended_servers(
+crash_detector::crash_detector(
     relay::router_context& router,
     std::function<std::optional<relay::health_check>(const std::string& id)>
-        check_of,
-    std::function<void(const std::string& life, std::vector<broken_run> runs)>
+        health_check_for,
+    std::function<
+        void(const std::string& incarnation, std::vector<broken_run> runs)>
         on_ended)
     : router_(router)
-    , check_of_(std::move(check_of))
+    , health_check_for_(std::move(health_check_for))
     , on_ended_(std::move(on_ended)) {}
 
-void ended_servers::call_broke(
+void crash_detector::report_broken_call(
     const broken_run& run, const traffic::server& server) {
-    watched& at = servers_[server.id];
-    const std::string life = life_of(server);
-    if (at.life != life) {
+    tracked_server& at = servers_[server.id];
+    const std::string incarnation = incarnation_of(server);
+    if (at.incarnation != incarnation) {
         at = {};
-        at.life = life;
+        at.incarnation = incarnation;
         at.timer = std::make_unique<event::timer>(router_.loop);
     }
     if (at.runs.size() < max_runs)
         at.runs.push_back({run, router_.loop.now()});
     if (at.ended_at) {
-        tell(at);
+        report_runs(at);
         return;
     }
     if (at.check != nullptr || at.check_planned)
         return;
     const base::steady_time due =
-        at.alive_at ? *at.alive_at + min_check_gap : router_.loop.now();
+        at.alive_at ? *at.alive_at + min_check_interval : router_.loop.now();
     at.check_planned = true;
     at.timer->start(due, [this, id = server.id] { check(id); });
 }
 
-void ended_servers::check(const std::string& id) {
-    const auto wanted = check_of_(id);
+void crash_detector::check(const std::string& id) {
+    const auto wanted = health_check_for_(id);
     if (!wanted) {
         servers_.erase(id);
         return;
     }
-    watched& at = servers_.at(id);
+    tracked_server& at = servers_.at(id);
     if (wanted->not_before > router_.loop.now()) {
         at.timer->start(wanted->not_before, [this, id] { check(id); });
         return;
     }
     at.check_planned = false;
-    at.check =
-        std::make_unique<end_check>(router_.loop, router_.pool, wanted->server);
+    at.check = std::make_unique<liveness_check>(
+        router_.loop, router_.pool, wanted->server);
     at.check->start(
         router_.protocol.health(wanted->path, id),
-        [this, id](end_verdict found) {
+        [this, id](liveness_verdict found) {
             // The check is running: let it go afterwards.
             router_.loop.post(
-                [this, id, found, alive = std::weak_ptr<bool>(life_)] {
+                [this, id, found, alive = std::weak_ptr<bool>(alive_token_)] {
                     if (!alive.expired())
                         on_verdict(id, found);
                 });
         });
 }
 
-void ended_servers::on_verdict(const std::string& id, end_verdict found) {
+void crash_detector::on_verdict(const std::string& id, liveness_verdict found) {
     const auto entry = servers_.find(id);
     if (entry == servers_.end() || entry->second.ended_at)
         return;
-    watched& at = entry->second;
+    tracked_server& at = entry->second;
     at.check.reset();
-    if (found == end_verdict::ended) {
-        on_end(id, at);
+    if (found == liveness_verdict::ended) {
+        on_server_ended(id, at);
         return;
     }
-    at.doubted = std::exchange(at.runs, {});
+    at.unconfirmed_runs = std::exchange(at.runs, {});
     at.alive_at = router_.loop.now();
-    forget_later(id, at, doubt_time);
+    schedule_removal(id, at, restart_detection_time);
 }
 
-void ended_servers::on_end(const std::string& id, watched& at) {
+void crash_detector::on_server_ended(
+    const std::string& id, tracked_server& at) {
     ++count_;
     at.ended_at = router_.loop.now();
     router_.log.write(
         "server_ended",
         {{"server", id}, {"runs", static_cast<std::int64_t>(at.runs.size())}});
-    tell(at);
-    forget_later(id, at, straggler_time);
+    report_runs(at);
+    schedule_removal(id, at, late_report_time);
 }
 
-void ended_servers::replaced(const std::string& id) {
+void crash_detector::replaced(const std::string& id) {
     const auto entry = servers_.find(id);
     if (entry == servers_.end() || entry->second.ended_at)
         return;
-    watched& at = entry->second;
+    tracked_server& at = entry->second;
     at.check.reset();
-    at.runs.insert(at.runs.end(), at.doubted.begin(), at.doubted.end());
-    at.doubted.clear();
+    at.runs.insert(
+        at.runs.end(), at.unconfirmed_runs.begin(), at.unconfirmed_runs.end());
+    at.unconfirmed_runs.clear();
     if (!at.runs.empty())
-        on_end(id, at);
+        on_server_ended(id, at);
 }
 
-void ended_servers::tell(watched& at) {
+void crash_detector::report_runs(tracked_server& at) {
     std::vector<broken_run> runs;
-    for (dated_run& entry : at.runs) {
+    for (timestamped_run& entry : at.runs) {
         entry.run.ago = std::chrono::duration_cast<base::milliseconds>(
             router_.loop.now() - entry.at);
         runs.push_back(std::move(entry.run));
     }
     at.runs.clear();
-    on_ended_(at.life, std::move(runs));
+    on_ended_(at.incarnation, std::move(runs));
 }
 
-void ended_servers::forget_later(
-    const std::string& id, watched& at, base::milliseconds time) {
+void crash_detector::schedule_removal(
+    const std::string& id, tracked_server& at, base::milliseconds time) {
     at.check_planned = false;
     at.timer->start(time, [this, id] { servers_.erase(id); });
 }
--- a/libs/mintknotd-platform/crashes/src/ended_servers.hpp
+++ b/libs/mintknotd-platform/crashes/src/crash_detector.hpp
@@ -4,7 +4,7 @@
 #define MINTKNOT_CRASHES_ENDED_SERVERS_HPP
 
 #include "crash_messages.hpp"
-#include "end_check.hpp"
+#include "liveness_check.hpp"
 
 #include <mintknot/relay/health_prober.hpp>
 #include <mintknot/relay/router_state.hpp>
@@ -23,39 +23,40 @@
 /// answers may have been started again by then; its row tells.
 ///
 /// Lives on the loop's thread. Everything that is passed in must outlive it.
-class ended_servers {
+class crash_detector {
 public:
-    /// @param check_of see watch_ports::check_of.
+    /// @param health_check_for see crash_watch_callbacks::health_check_for.
     /// @param on_ended told of an end, and again of calls that broke a little
-    /// later. @param life the server's ID and which life of it.
-    ended_servers(
+    /// later. @param incarnation the server's ID and which incarnation of it.
+    crash_detector(
         relay::router_context& router,
         std::function<std::optional<relay::health_check>(const std::string& id)>
-            check_of,
+            health_check_for,
         std::function<
-            void(const std::string& life, std::vector<broken_run> runs)>
+            void(const std::string& incarnation, std::vector<broken_run> runs)>
             on_ended);
 
-    void call_broke(const broken_run& run, const traffic::server& server);
-    /// The row of a server has gone, or tells of another life.
+    void
+    report_broken_call(const broken_run& run, const traffic::server& server);
+    /// The row of a server has gone, or tells of another incarnation.
     void replaced(const std::string& id);
     /// @return how many have ended since the start.
     std::size_t count() const noexcept { return count_; }
 
 private:
     /// A run and when it broke.
-    struct dated_run {
+    struct timestamped_run {
         broken_run run;
         base::steady_time at;
     };
 
     /// A server under which calls broke.
-    struct watched {
-        std::string life;
-        std::vector<dated_run> runs; ///< Not told yet.
+    struct tracked_server {
+        std::string incarnation;
+        std::vector<timestamped_run> runs; ///< Not told yet.
         /// Runs that broke although the server answered a moment later.
-        std::vector<dated_run> doubted;
-        std::unique_ptr<end_check> check;
+        std::vector<timestamped_run> unconfirmed_runs;
+        std::unique_ptr<liveness_check> check;
         bool check_planned = false;
         std::unique_ptr<event::timer> timer; ///< Of the check, or of the end.
         std::optional<base::steady_time> alive_at;
@@ -63,20 +64,21 @@
     };
 
     void check(const std::string& id);
-    void on_verdict(const std::string& id, end_verdict found);
-    void on_end(const std::string& id, watched& at);
-    void tell(watched& at);
-    void
-    forget_later(const std::string& id, watched& at, base::milliseconds time);
+    void on_verdict(const std::string& id, liveness_verdict found);
+    void on_server_ended(const std::string& id, tracked_server& at);
+    void report_runs(tracked_server& at);
+    void schedule_removal(
+        const std::string& id, tracked_server& at, base::milliseconds time);
 
     relay::router_context& router_;
     std::function<std::optional<relay::health_check>(const std::string& id)>
-        check_of_;
-    std::function<void(const std::string& life, std::vector<broken_run> runs)>
+        health_check_for_;
+    std::function<void(
+        const std::string& incarnation, std::vector<broken_run> runs)>
         on_ended_;
-    std::map<std::string, watched> servers_; ///< By ID.
+    std::map<std::string, tracked_server> servers_; ///< By ID.
     std::size_t count_ = 0;
-    std::shared_ptr<bool> life_ = std::make_shared<bool>(true);
+    std::shared_ptr<bool> alive_token_ = std::make_shared<bool>(true);
 };
 
 } // namespace mintknot::crashes
--- a/libs/mintknotd-platform/crashes/src/crash_messages.cpp
+++ b/libs/mintknotd-platform/crashes/src/crash_messages.cpp
@@ -44,10 +44,10 @@
         runs.push_back(
             {run.key.digest, run.key.body_bytes, run.ran_for.count(),
              run.ago.count()});
-    return {report_format, value.server_life, runs};
+    return {report_format, value.server_incarnation, runs};
 }
 
-json to_json(const block_notice& value) {
+json to_json(const block_announcement& value) {
     json blocks = json::array();
     for (const policy::block_news& block : value.blocks)
         blocks.push_back(
@@ -56,21 +56,21 @@
     return {block_format, blocks};
 }
 
-json to_json(const clear_notice& value) {
+json to_json(const clear_announcement& value) {
     return {clear_format, value.digest};
 }
 
 crash_report report_from(const json& row) {
     crash_report value;
-    value.server_life = row.at(1).get<std::string>();
+    value.server_incarnation = row.at(1).get<std::string>();
     for (const json& run : bounded(row.at(2)))
         value.runs.push_back(
             {key_from(run), time_from(run.at(2)), time_from(run.at(3))});
     return value;
 }
 
-block_notice blocks_from(const json& row) {
-    block_notice value;
+block_announcement blocks_from(const json& row) {
+    block_announcement value;
     for (const json& block : bounded(row.at(1)))
         value.blocks.push_back(
             {key_from(block), time_from(block.at(2)),
@@ -85,7 +85,7 @@
     case block_format:
         return blocks_from(row);
     default:
-        return clear_notice{row.at(1).get<std::string>()};
+        return clear_announcement{row.at(1).get<std::string>()};
     }
 }
 
--- a/libs/mintknotd-platform/crashes/src/crash_messages.hpp
+++ b/libs/mintknotd-platform/crashes/src/crash_messages.hpp
@@ -23,21 +23,22 @@
 
 /// A server has ended without a word.
 struct crash_report {
-    std::string server_life; ///< See policy::crash_record.
+    std::string server_incarnation; ///< See policy::crash_record.
     std::vector<broken_run> runs;
 };
 
 /// Requests that are refused.
-struct block_notice {
+struct block_announcement {
     std::vector<policy::block_news> blocks;
 };
 
 /// A server has given a whole answer to a request.
-struct clear_notice {
+struct clear_announcement {
     std::string digest;
 };
 
-using crash_message = std::variant<crash_report, block_notice, clear_notice>;
+using crash_message =
+    std::variant<crash_report, block_announcement, clear_announcement>;
 
 /// Entries of one message at most: it fits into one packet.
 inline constexpr std::size_t max_entries = 16;
--- a/libs/mintknotd-platform/crashes/src/crash_watch.cpp
+++ b/libs/mintknotd-platform/crashes/src/crash_watch.cpp
@@ -1,7 +1,7 @@
 #include <mintknot/crashes/crash_watch.hpp>
 
+#include "crash_detector.hpp"
 #include "crash_messages.hpp"
-#include "ended_servers.hpp"
 
 #include <mintknot/base/random.hpp>
 
@@ -13,95 +13,101 @@
 
 namespace {
 
-/// What judges are told is told again after this time: datagrams are lost.
-constexpr base::milliseconds resend_time{300};
-constexpr base::milliseconds notice_period{1000};
+/// What evaluators are told is told again after this time: datagrams are lost.
+constexpr base::milliseconds resend_delay{300};
+constexpr base::milliseconds block_resend_interval{1000};
 /// Who is told of blocks in each period: of the others, and the part of the
-/// followers.
-constexpr std::size_t peers_told = 4;
-constexpr std::size_t followers_part = 4;
+/// leaves.
+constexpr std::size_t peers_per_resend = 4;
+constexpr std::size_t leaf_fraction = 4;
 
 } // namespace
 
 struct crash_watch::impl {
-    impl(relay::router_context& shared, watch_ports outside)
+    impl(relay::router_context& shared, crash_watch_callbacks outside)
         : router(shared)
-        , ports(std::move(outside))
-        , servers(
-              shared, ports.check_of,
-              [this](const std::string& life, std::vector<broken_run> runs) {
-                  report(life, std::move(runs));
+        , callbacks(std::move(outside))
+        , detector(
+              shared, callbacks.health_check_for,
+              [this](
+                  const std::string& incarnation,
+                  std::vector<broken_run> runs) {
+                  report_crash(incarnation, std::move(runs));
               })
-        , judge_timer(shared.loop)
-        , notice_timer(shared.loop) {}
+        , evaluation_timer(shared.loop)
+        , block_resend_timer(shared.loop) {}
 
     base::steady_time now() const { return router.loop.now(); }
 
-    /// Tells the judges what ran on a server that has ended.
-    void report(const std::string& server_life, std::vector<broken_run> runs) {
+    /// Tells the evaluators what ran on a server that has ended.
+    void report_crash(
+        const std::string& server_incarnation, std::vector<broken_run> runs) {
         for (auto next = runs.begin(); next != runs.end();) {
             const auto left = static_cast<std::size_t>(runs.end() - next);
             const auto end =
                 next + static_cast<std::ptrdiff_t>(std::min(max_entries, left));
-            crash_report told{server_life, {next, end}};
-            take(told);
-            send_to_judges(told);
-            for (broken_run& run : told.runs)
-                run.ago += resend_time;
-            later([this, told] { send_to_judges(told); });
+            crash_report report{server_incarnation, {next, end}};
+            record_crash(report);
+            send_to_evaluators(report);
+            for (broken_run& run : report.runs)
+                run.ago += resend_delay;
+            run_after_resend_delay(
+                [this, report] { send_to_evaluators(report); });
             next = end;
         }
     }
 
-    void send_to_judges(const crash_message& message) {
-        tell(ports.judges(), encode(message));
+    void send_to_evaluators(const crash_message& message) {
+        send_to_all(callbacks.evaluators(), encode(message));
     }
 
     /// Does something after the resend time.
-    void later(std::function<void()> action) {
-        const std::uint64_t number = ++last_resend;
-        auto& timer = resends[number];
+    void run_after_resend_delay(std::function<void()> action) {
+        const std::uint64_t id = ++last_resend_id;
+        auto& timer = pending_resends[id];
         timer = std::make_unique<event::timer>(router.loop);
-        timer->start(resend_time, [this, number, action = std::move(action)] {
+        timer->start(resend_delay, [this, id, action = std::move(action)] {
             action();
-            router.loop.post([this, number, alive = std::weak_ptr<bool>(life)] {
-                if (!alive.expired())
-                    resends.erase(number);
-            });
+            router.loop.post(
+                [this, id, alive = std::weak_ptr<bool>(alive_token)] {
+                    if (!alive.expired())
+                        pending_resends.erase(id);
+                });
         });
     }
 
-    void
-    tell(const std::vector<std::string>& hosts, const std::string& datagram) {
+    void send_to_all(
+        const std::vector<std::string>& hosts, const std::string& datagram) {
         for (const std::string& host : hosts)
-            if (host != ports.own_host)
-                ports.send(host, datagram);
+            if (host != callbacks.own_host)
+                callbacks.send(host, datagram);
     }
 
-    void take(const crash_report& told) {
-        for (const broken_run& run : told.runs) {
-            const base::steady_time broke = now() - run.ago;
+    void record_crash(const crash_report& report) {
+        for (const broken_run& run : report.runs) {
+            const base::steady_time broken_at = now() - run.ago;
             policy::note_crash(
                 evidence, run.key,
-                {told.server_life, broke - run.ran_for, broke}, now());
+                {report.server_incarnation, broken_at - run.ran_for, broken_at},
+                now());
         }
-        plan_judgement();
+        schedule_evaluation();
     }
 
-    void plan_judgement() {
+    void schedule_evaluation() {
         const auto due = policy::next_judgement(evidence);
         if (due)
-            judge_timer.start(*due, [this] { judge(); });
+            evaluation_timer.start(*due, [this] { evaluate(); });
     }
 
-    void judge() {
+    void evaluate() {
         policy::expire(evidence, now());
-        const std::vector<policy::block_news> fresh =
+        const std::vector<policy::block_news> new_blocks =
             policy::judge(evidence, now());
-        for (const policy::block_news& block : fresh)
-            log_block(block, ports.own_host);
-        announce(fresh);
-        plan_judgement();
+        for (const policy::block_news& block : new_blocks)
+            log_block(block, callbacks.own_host);
+        broadcast_blocks(new_blocks);
+        schedule_evaluation();
     }
 
     void log_block(const policy::block_news& block, const std::string& by) {
@@ -113,20 +119,23 @@
     }
 
     /// Tells everybody, and from now on some of them again and again.
-    void announce(const std::vector<policy::block_news>& fresh) {
-        for (std::size_t i = 0; i < fresh.size(); i += max_entries) {
-            const auto begin = fresh.begin() + static_cast<std::ptrdiff_t>(i);
+    void broadcast_blocks(const std::vector<policy::block_news>& new_blocks) {
+        for (std::size_t i = 0; i < new_blocks.size(); i += max_entries) {
+            const auto begin =
+                new_blocks.begin() + static_cast<std::ptrdiff_t>(i);
             const auto end = begin + static_cast<std::ptrdiff_t>(std::min(
-                                         max_entries, fresh.size() - i));
-            const std::string datagram = encode(block_notice{{begin, end}});
-            tell(ports.peers(), datagram);
-            tell(ports.followers(), datagram);
+                                         max_entries, new_blocks.size() - i));
+            const std::string datagram =
+                encode(block_announcement{{begin, end}});
+            send_to_all(callbacks.peers(), datagram);
+            send_to_all(callbacks.leaf_hosts(), datagram);
         }
-        if (!fresh.empty() && !notice_timer.active())
-            notice_timer.start(notice_period, [this] { remind(); });
+        if (!new_blocks.empty() && !block_resend_timer.active())
+            block_resend_timer.start(
+                block_resend_interval, [this] { resend_blocks(); });
     }
 
-    void remind() {
+    void resend_blocks() {
         policy::expire(evidence, now());
         std::vector<policy::block_news> known = policy::blocks(evidence, now());
         if (known.empty())
@@ -139,52 +148,57 @@
                 known.end());
             known.resize(max_entries);
         }
-        const std::string datagram = encode(block_notice{std::move(known)});
-        std::vector<std::string> some = ports.peers();
-        base::keep_some(some, peers_told);
-        tell(some, datagram);
-        const std::vector<std::string> followers = ports.followers();
-        for (std::size_t i = reminders % followers_part; i < followers.size();
-             i += followers_part)
-            ports.send(followers[i], datagram);
-        ++reminders;
-        notice_timer.start(notice_period, [this] { remind(); });
+        const std::string datagram =
+            encode(block_announcement{std::move(known)});
+        std::vector<std::string> recipients = callbacks.peers();
+        base::keep_some(recipients, peers_per_resend);
+        send_to_all(recipients, datagram);
+        const std::vector<std::string> leaves = callbacks.leaf_hosts();
+        for (std::size_t i = resend_rounds % leaf_fraction; i < leaves.size();
+             i += leaf_fraction)
+            callbacks.send(leaves[i], datagram);
+        ++resend_rounds;
+        block_resend_timer.start(
+            block_resend_interval, [this] { resend_blocks(); });
     }
 
-    void on_message(const std::string&, const crash_report& told) {
-        take(told);
+    void on_message(const std::string&, const crash_report& report) {
+        record_crash(report);
     }
 
-    void on_message(const std::string& host, const block_notice& notice) {
-        std::vector<policy::block_news> fresh;
+    void on_message(const std::string& host, const block_announcement& notice) {
+        std::vector<policy::block_news> new_blocks;
         for (const policy::block_news& block : notice.blocks) {
             if (policy::recently_cleared(evidence, block.key.digest, now())) {
-                ports.send(host, encode(clear_notice{block.key.digest}));
+                callbacks.send(
+                    host, encode(clear_announcement{block.key.digest}));
                 continue;
             }
             if (!policy::note_block(evidence, block, now()))
                 continue;
             log_block(block, host);
-            fresh.push_back(block);
+            new_blocks.push_back(block);
         }
-        if (fresh.empty())
+        if (new_blocks.empty())
             return;
-        const std::string datagram = encode(block_notice{std::move(fresh)});
-        tell(ports.followers(), datagram);
-        if (!notice_timer.active())
-            notice_timer.start(notice_period, [this] { remind(); });
+        const std::string datagram =
+            encode(block_announcement{std::move(new_blocks)});
+        send_to_all(callbacks.leaf_hosts(), datagram);
+        if (!block_resend_timer.active())
+            block_resend_timer.start(
+                block_resend_interval, [this] { resend_blocks(); });
     }
 
-    void on_message(const std::string& host, const clear_notice& notice) {
+    void on_message(const std::string& host, const clear_announcement& notice) {
         const bool was_blocked =
             policy::blocked_for(evidence, notice.digest, now()).has_value();
         if (!policy::clear(evidence, notice.digest, now()) || !was_blocked)
             return;
-        log_clearing(notice.digest, host);
-        tell(ports.followers(), encode(notice));
+        log_cleared(notice.digest, host);
+        send_to_all(callbacks.leaf_hosts(), encode(notice));
     }
 
-    void log_clearing(const std::string& digest, const std::string& by) {
+    void log_cleared(const std::string& digest, const std::string& by) {
         router.log.write(
             "request_cleared", {{"digest", digest}, {"told_by", by}});
     }
@@ -194,32 +208,34 @@
             policy::blocked_for(evidence, digest, now()).has_value();
         if (!policy::clear(evidence, digest, now()))
             return;
-        const clear_notice notice{digest};
+        const clear_announcement notice{digest};
         if (!was_blocked) {
-            send_to_judges(notice);
-            later([this, notice] { send_to_judges(notice); });
+            send_to_evaluators(notice);
+            run_after_resend_delay(
+                [this, notice] { send_to_evaluators(notice); });
             return;
         }
         const std::string datagram = encode(notice);
-        log_clearing(digest, ports.own_host);
-        tell(ports.peers(), datagram);
-        tell(ports.followers(), datagram);
+        log_cleared(digest, callbacks.own_host);
+        send_to_all(callbacks.peers(), datagram);
+        send_to_all(callbacks.leaf_hosts(), datagram);
     }
 
     relay::router_context& router;
-    watch_ports ports;
+    crash_watch_callbacks callbacks;
     policy::crash_evidence evidence;
-    ended_servers servers;
-    std::map<std::uint64_t, std::unique_ptr<event::timer>> resends;
-    std::uint64_t last_resend = 0;
-    std::size_t reminders = 0;
-    event::timer judge_timer;
-    event::timer notice_timer;
-    std::shared_ptr<bool> life = std::make_shared<bool>(true);
+    crash_detector detector;
+    std::map<std::uint64_t, std::unique_ptr<event::timer>> pending_resends;
+    std::uint64_t last_resend_id = 0;
+    std::size_t resend_rounds = 0;
+    event::timer evaluation_timer;
+    event::timer block_resend_timer;
+    std::shared_ptr<bool> alive_token = std::make_shared<bool>(true);
 };
 
-crash_watch::crash_watch(relay::router_context& router, watch_ports ports)
-    : impl_(std::make_unique<impl>(router, std::move(ports))) {}
+crash_watch::crash_watch(
+    relay::router_context& router, crash_watch_callbacks callbacks)
+    : impl_(std::make_unique<impl>(router, std::move(callbacks))) {}
 
 crash_watch::~crash_watch() = default;
 
@@ -240,12 +256,12 @@
     if (server == nullptr ||
         traffic::leaves(impl_->router.state.servers, *server))
         return;
-    impl_->servers.call_broke(
+    impl_->detector.report_broken_call(
         {{request.digest(), request.body_bytes()}, ran_for}, *server);
 }
 
 void crash_watch::server_replaced(const std::string& server_id) {
-    impl_->servers.replaced(server_id);
+    impl_->detector.replaced(server_id);
 }
 
 void crash_watch::answered(const relay::request_identity& request) {
@@ -267,7 +283,7 @@
 }
 
 std::size_t crash_watch::servers_ended() const {
-    return impl_->servers.count();
+    return impl_->detector.count();
 }
 
 } // namespace mintknot::crashes
--- a/libs/mintknotd-platform/crashes/src/end_check.cpp
+++ b/libs/mintknotd-platform/crashes/src/liveness_check.cpp
@@ -1,4 +1,4 @@
-#include "end_check.hpp"
+#include "liveness_check.hpp"
 
 #include <utility>
 
@@ -6,14 +6,14 @@
 
 namespace {
 
-constexpr int failures_to_end = 2;
-constexpr base::milliseconds pause{150};
+constexpr int max_failures = 2;
+constexpr base::milliseconds retry_delay{150};
 /// Beyond it the server is taken for silent.
-constexpr base::milliseconds answer_time{300};
+constexpr base::milliseconds answer_timeout{300};
 
 } // namespace
 
-end_check::end_check(
+liveness_check::liveness_check(
     event::loop& owner, upstream::connection_pool& pool,
     upstream::target server)
     : owner_(owner)
@@ -21,42 +21,43 @@
     , server_(std::move(server))
     , timer_(owner) {}
 
-void end_check::start(
-    http1::request_head request, std::function<void(end_verdict)> then) {
+void liveness_check::start(
+    http1::request_head request, std::function<void(liveness_verdict)> then) {
     request_ = std::move(request);
     then_ = std::move(then);
     failures_ = 0;
-    call();
+    start_call();
 }
 
-void end_check::call() {
+void liveness_check::start_call() {
     upstream::call_options options;
     options.on_new_connection = true;
-    timer_.start(answer_time, [this] { finish(end_verdict::unknown); });
+    timer_.start(answer_timeout, [this] { finish(liveness_verdict::unknown); });
     call_ = upstream::call::start(
         pool_, server_, {request_, nullptr}, options,
-        {nullptr, [this](http1::response_head&) { finish(end_verdict::alive); },
+        {nullptr,
+         [this](http1::response_head&) { finish(liveness_verdict::alive); },
          [](std::string_view) {}, [] {},
          [this](upstream::call_failure why) { on_failure(why); }});
 }
 
-void end_check::on_failure(upstream::call_failure why) {
+void liveness_check::on_failure(upstream::call_failure why) {
     if (why == upstream::call_failure::unreachable) {
-        finish(end_verdict::unknown);
+        finish(liveness_verdict::unknown);
         return;
     }
     if (why == upstream::call_failure::bad_answer) {
-        finish(end_verdict::alive);
+        finish(liveness_verdict::alive);
         return;
     }
-    if (++failures_ == failures_to_end) {
-        finish(end_verdict::ended);
+    if (++failures_ == max_failures) {
+        finish(liveness_verdict::ended);
         return;
     }
-    timer_.start(pause, [this] { call(); });
+    timer_.start(retry_delay, [this] { start_call(); });
 }
 
-void end_check::finish(end_verdict found) {
+void liveness_check::finish(liveness_verdict found) {
     timer_.stop();
     call_.reset();
     // The handler may destroy this object.
--- a/libs/mintknotd-platform/crashes/tests/test_crash_messages.cpp
+++ b/libs/mintknotd-platform/crashes/tests/test_crash_messages.cpp
@@ -5,7 +5,7 @@
 using namespace mintknot;
 using namespace mintknot::crashes;
 
-Test(crash_messages, a_report_arrives_as_it_was_sent) {
+Test(crash_messages, report_round_trip) {
     const crash_report sent{
         "s1/7",
         {{{"d1", 10}, base::milliseconds(60), base::milliseconds(9)},
@@ -13,7 +13,7 @@
     const auto seen = decode_crash_message(encode(sent));
     cr_assert(seen.ok());
     const auto& report = std::get<crash_report>(*seen);
-    cr_assert(report.server_life == "s1/7");
+    cr_assert(report.server_incarnation == "s1/7");
     cr_assert(report.runs.size() == 2);
     cr_assert(report.runs[0].key.digest == "d1");
     cr_assert(report.runs[0].key.body_bytes == 10);
@@ -21,27 +21,28 @@
     cr_assert(report.runs[0].ago == base::milliseconds(9));
 }
 
-Test(crash_messages, notices_arrive_as_they_were_sent) {
+Test(crash_messages, announcements_round_trip) {
     const auto blocks = decode_crash_message(
-        encode(block_notice{{{{"d1", 10}, base::milliseconds(5), 2}}}));
+        encode(block_announcement{{{{"d1", 10}, base::milliseconds(5), 2}}}));
     cr_assert(blocks.ok());
     const policy::block_news& block =
-        std::get<block_notice>(*blocks).blocks.at(0);
+        std::get<block_announcement>(*blocks).blocks.at(0);
     cr_assert(block.key.digest == "d1");
     cr_assert(block.left == base::milliseconds(5));
     cr_assert(block.times == 2);
-    const auto clearing = decode_crash_message(encode(clear_notice{"d1"}));
+    const auto clearing =
+        decode_crash_message(encode(clear_announcement{"d1"}));
     cr_assert(clearing.ok());
-    cr_assert(std::get<clear_notice>(*clearing).digest == "d1");
+    cr_assert(std::get<clear_announcement>(*clearing).digest == "d1");
 }
 
-Test(crash_messages, what_is_malformed_is_refused) {
-    const std::string good = encode(clear_notice{"d1"});
+Test(crash_messages, malformed_messages_are_rejected) {
+    const std::string good = encode(clear_announcement{"d1"});
     for (const std::string& bad :
          {std::string(), std::string("x"), good.substr(0, good.size() - 1),
           std::string("\x92\x10\x01"), std::string("\x92\x11\x91\x01")})
         cr_assert(!decode_crash_message(bad).ok());
-    block_notice many;
+    block_announcement many;
     many.blocks.resize(max_entries + 1);
     cr_assert(!decode_crash_message(encode(many)).ok());
 }
--- a/libs/mintknotd-platform/crashes/tests/test_crash_watch.cpp
+++ b/libs/mintknotd-platform/crashes/tests/test_crash_watch.cpp
@@ -23,8 +23,8 @@
 constexpr auto decode = traffic::engine_phase::decode;
 
 /// A router with a watch, and what it sends to others.
-struct watched_router : relay_fixture {
-    watched_router()
+struct crash_watch_fixture : relay_fixture {
+    crash_watch_fixture()
         : watch(
               context,
               {"self",
@@ -38,11 +38,13 @@
                    return std::vector<std::string>{"judge", "peer"};
                },
                [] { return std::vector<std::string>{"follower"}; },
-               [this](const std::string& id) { return check_of(id); }}) {
+               [this](const std::string& id) {
+                   return health_check_for(id);
+               }}) {
         context.crashes = &watch;
     }
 
-    std::optional<relay::health_check> check_of(const std::string& id) {
+    std::optional<relay::health_check> health_check_for(const std::string& id) {
         const traffic::server* server =
             traffic::find(context.state.servers, id);
         if (server == nullptr)
@@ -52,7 +54,7 @@
 
     /// Adds a server that ends when a request with the target /x/crash runs;
     /// it answers others as given.
-    scripted_server& add_mortal(
+    scripted_server& add_crashing_server(
         const std::string& id, const std::string& service,
         traffic::engine_phase phase, script good) {
         scripted_server& server = add_server(id, service, phase, {});
@@ -108,12 +110,13 @@
 
 } // namespace
 
-Test(crash_watch, the_fourth_try_reaches_no_server_and_is_told_so) {
+Test(crash_watch, crashing_request_is_refused_by_the_fourth_try) {
     for (const char* route : {"unsafe", "stream", "resume"}) {
-        watched_router f;
+        crash_watch_fixture f;
         for (int i = 0; i < 8; ++i) {
-            f.add_mortal(fmt::format("app{}", i), "app", plain, ok());
-            f.add_mortal(fmt::format("d{}", i), "llm", decode, good_decode());
+            f.add_crashing_server(fmt::format("app{}", i), "app", plain, ok());
+            f.add_crashing_server(
+                fmt::format("d{}", i), "llm", decode, good_decode());
         }
         int tries = 0;
         while (f.watch.blocked() == 0) {
@@ -137,8 +140,8 @@
     }
 }
 
-Test(crash_watch, a_lost_connection_to_a_living_server_blocks_nothing) {
-    watched_router f;
+Test(crash_watch, lost_connection_to_live_server_blocks_nothing) {
+    crash_watch_fixture f;
     const script resetting = [](const received& to,
                                 const event::connection_ptr& link) {
         if (to.head.target == "/health")
@@ -157,9 +160,9 @@
     cr_assert(f.sent.empty());
 }
 
-Test(crash_watch, the_end_of_a_server_that_drains_is_nobodys_fault) {
-    watched_router f;
-    f.add_mortal("s", "app", plain, ok());
+Test(crash_watch, end_of_draining_server_is_not_a_crash) {
+    crash_watch_fixture f;
+    f.add_crashing_server("s", "app", plain, ok());
     traffic::server leaving = *traffic::find(f.context.state.servers, "s");
     leaving.draining = true;
     traffic::apply(f.context.state.servers, "s", 100, leaving);
@@ -171,8 +174,8 @@
     cr_assert(f.watch.servers_ended() == 0);
 }
 
-Test(crash_watch, a_server_started_again_at_once_is_known_by_its_row) {
-    watched_router f;
+Test(crash_watch, immediate_restart_is_detected_by_replaced_row) {
+    crash_watch_fixture f;
     f.add_server("s", "app", plain, ok());
     f.watch.call_broke(identity("d"), "s", base::milliseconds(5));
     event::timer wait(f.owner);
@@ -185,12 +188,12 @@
     cr_assert(f.sent_to<crash_report>("judge")->runs.at(0).key.digest == "d");
 }
 
-Test(crash_watch, judges_hear_what_ran_and_everybody_of_a_block) {
-    watched_router f;
+Test(crash_watch, evaluators_get_reports_and_all_hosts_get_blocks) {
+    crash_watch_fixture f;
     f.add_dead_server("s", "app");
     f.watch.call_broke(identity("d"), "s", base::milliseconds(5));
     f.run_until([&] { return f.watch.servers_ended() == 1; });
-    cr_assert(f.sent_to<crash_report>("judge")->server_life == "s/0");
+    cr_assert(f.sent_to<crash_report>("judge")->server_incarnation == "s/0");
     cr_assert(!f.sent_to<crash_report>("peer"));
     base::milliseconds ago{0};
     for (const char* life : {"t/0", "u/0"}) {
@@ -201,43 +204,45 @@
     f.run_until([&] { return f.watch.blocked() == 1; });
     for (const char* host : {"judge", "peer", "follower"})
         cr_assert(
-            f.sent_to<block_notice>(host)->blocks.at(0).key.digest == "d");
+            f.sent_to<block_announcement>(host)->blocks.at(0).key.digest ==
+            "d");
     cr_assert(f.watch.blocked_for(identity("d")).has_value());
     cr_assert(!f.watch.blocked_for(identity("e")));
 }
 
-Test(crash_watch, a_block_that_was_told_is_passed_on_and_repeated) {
-    watched_router f;
-    const std::string news =
-        encode(block_notice{{{{"d", 2}, base::milliseconds(60000), 1}}});
-    f.watch.receive("judge", news);
+Test(crash_watch, received_block_is_forwarded_and_resent) {
+    crash_watch_fixture f;
+    const std::string announcement =
+        encode(block_announcement{{{{"d", 2}, base::milliseconds(60000), 1}}});
+    f.watch.receive("judge", announcement);
     cr_assert(f.watch.blocked() == 1);
-    cr_assert(f.sent_to<block_notice>("follower").has_value());
-    f.run_until([&] { return f.sent_to<block_notice>("peer").has_value(); });
+    cr_assert(f.sent_to<block_announcement>("follower").has_value());
+    f.run_until(
+        [&] { return f.sent_to<block_announcement>("peer").has_value(); });
 }
 
-Test(crash_watch, a_whole_answer_frees_a_request_everywhere) {
-    watched_router f;
-    const std::string news =
-        encode(block_notice{{{{"d", 2}, base::milliseconds(60000), 1}}});
-    f.watch.receive("judge", news);
+Test(crash_watch, complete_answer_unblocks_request_everywhere) {
+    crash_watch_fixture f;
+    const std::string announcement =
+        encode(block_announcement{{{{"d", 2}, base::milliseconds(60000), 1}}});
+    f.watch.receive("judge", announcement);
     f.watch.answered(identity("d"));
     cr_assert(f.watch.blocked() == 0);
     for (const char* host : {"judge", "peer", "follower"})
-        cr_assert(f.sent_to<clear_notice>(host)->digest == "d");
-    f.watch.receive("judge", news);
+        cr_assert(f.sent_to<clear_announcement>(host)->digest == "d");
+    f.watch.receive("judge", announcement);
     cr_assert(f.watch.blocked() == 0);
 }
 
-Test(crash_watch, a_request_that_waits_is_told_as_soon_as_it_is_blocked) {
-    watched_router f;
-    f.add_mortal("d1", "llm", decode, good_decode());
+Test(crash_watch, waiting_request_is_refused_once_blocked) {
+    crash_watch_fixture f;
+    f.add_crashing_server("d1", "llm", decode, good_decode());
     f.add_server(
         "p1", "llm", prefill,
         [&](const received& to, const event::connection_ptr& link) {
             const auto digest = relay::request_digest("", to.head, to.body);
             f.watch.receive(
-                "judge", encode(block_notice{
+                "judge", encode(block_announcement{
                              {{{digest, 2}, base::milliseconds(60000), 1}}}));
             link->write(answer_to(to, "handle k"));
         });
--- a/libs/mintknotd-platform/crashes/tests/test_end_check.cpp
+++ b/libs/mintknotd-platform/crashes/tests/test_liveness_check.cpp
@@ -1,4 +1,4 @@
-#include "end_check.hpp"
+#include "liveness_check.hpp"
 
 #include "relay_fixture.hpp"
 
@@ -13,13 +13,13 @@
 namespace {
 
 /// @return what a check of the server finds.
-end_verdict check(relay_fixture& f, const std::string& id) {
+liveness_verdict check(relay_fixture& f, const std::string& id) {
     const traffic::server* server = traffic::find(f.context.state.servers, id);
-    end_check checking(f.owner, f.pool, {id, server->where});
-    std::optional<end_verdict> found;
-    checking.start(f.protocol.health("/health", id), [&](end_verdict verdict) {
-        found = verdict;
-    });
+    liveness_check checking(f.owner, f.pool, {id, server->where});
+    std::optional<liveness_verdict> found;
+    checking.start(
+        f.protocol.health("/health", id),
+        [&](liveness_verdict verdict) { found = verdict; });
     f.run_until([&] { return found.has_value(); });
     return *found;
 }
@@ -28,23 +28,23 @@
 
 } // namespace
 
-Test(end_check, any_answer_shows_that_a_server_lives) {
+Test(liveness_check, any_answer_means_alive) {
     relay_fixture f;
     f.add_server(
         "s", "app", plain,
         [](const received& to, const event::connection_ptr& link) {
             link->write(answer_to(to, "busy", 503));
         });
-    cr_assert(check(f, "s") == end_verdict::alive);
+    cr_assert(check(f, "s") == liveness_verdict::alive);
 }
 
-Test(end_check, a_server_that_nobody_listens_for_has_ended) {
+Test(liveness_check, refused_connections_mean_ended) {
     relay_fixture f;
     f.add_dead_server("s", "app");
-    cr_assert(check(f, "s") == end_verdict::ended);
+    cr_assert(check(f, "s") == liveness_verdict::ended);
 }
 
-Test(end_check, a_single_connection_that_is_not_taken_shows_nothing) {
+Test(liveness_check, single_failed_connection_is_retried) {
     relay_fixture f;
     int calls = 0;
     f.add_server(
@@ -55,14 +55,14 @@
             else
                 link->write(answer_to(to, "ok"));
         });
-    cr_assert(check(f, "s") == end_verdict::alive);
+    cr_assert(check(f, "s") == liveness_verdict::alive);
     cr_assert(calls == 2);
 }
 
-Test(end_check, silence_shows_nothing) {
+Test(liveness_check, missing_answer_means_unknown) {
     relay_fixture f;
     f.add_server(
         "s", "app", plain,
         [](const received&, const event::connection_ptr&) {});
-    cr_assert(check(f, "s") == end_verdict::unknown);
+    cr_assert(check(f, "s") == liveness_verdict::unknown);
 }
--- a/libs/mintknotd-platform/limits/include/mintknot/limits/usage_accounts.hpp
+++ b/libs/mintknotd-platform/limits/include/mintknot/limits/usage_accounts.hpp
@@ -24,7 +24,7 @@
 };
 
 /// How the accounts reach other instances.
-struct account_ports {
+struct usage_account_callbacks {
     std::string own_host;
     /// Sends a datagram to the instance on that host.
     std::function<void(const std::string& host, const std::string& datagram)>
@@ -32,18 +32,18 @@
     /// @return the others that are heard.
     std::function<std::vector<group_peer>()> members;
     /// @return true while this instance may keep accounts: it does not stop.
-    std::function<bool()> stays;
+    std::function<bool()> may_keep_accounts;
     /// @return how many instances share what each may grant alone, where
     /// members() are only some of them; else 0. Empty: 0.
-    std::function<std::size_t()> instances{};
+    std::function<std::size_t()> instance_count{};
 };
 
 /// What has become of questions, since the start, for metrics.
 struct account_counters {
     std::uint64_t granted = 0;
     std::uint64_t refused = 0;
-    std::uint64_t deputised = 0; ///< Granted by a deputy's account.
-    std::uint64_t alone = 0;     ///< Granted by the instance's own account.
+    std::uint64_t granted_by_deputies = 0; ///< Granted by a deputy's account.
+    std::uint64_t granted_alone = 0; ///< Granted by the instance's own account.
 };
 
 /// Asks the keeper of an organisation's account before a request runs, and
@@ -54,7 +54,7 @@
 class usage_accounts final : public relay::usage_limiter {
 public:
     usage_accounts(
-        relay::router_context& router, account_ports ports,
+        relay::router_context& router, usage_account_callbacks ports,
         const policy::usage_bounds& bounds);
     ~usage_accounts() override;
     usage_accounts(const usage_accounts&) = delete;
--- a/libs/mintknotd-platform/limits/src/usage_book.cpp
+++ b/libs/mintknotd-platform/limits/src/account_table.cpp
@@ -1,4 +1,4 @@
-#include "usage_book.hpp"
+#include "account_table.hpp"
 
 #include <algorithm>
 
@@ -10,7 +10,7 @@
 constexpr std::size_t max_accounts = 4096;
 
 /// How long a doubled datagram is known for one, at least.
-constexpr base::milliseconds return_memory{5000};
+constexpr base::milliseconds duplicate_detection_time{5000};
 
 bool idle_since(
     const policy::usage_account& account, base::steady_time moment) {
@@ -19,10 +19,10 @@
 
 } // namespace
 
-usage_book::usage_book(policy::usage_bounds bounds)
+account_table::account_table(policy::usage_bounds bounds)
     : bounds_(bounds) {}
 
-policy::account_terms usage_book::terms(
+policy::account_terms account_table::terms(
     const traffic::usage_limit& limit, account_kind account) const {
     if (account == account_kind::keeper)
         return policy::terms_of_account(
@@ -34,39 +34,39 @@
 }
 
 policy::usage_account&
-usage_book::account_of(const std::string& name, account_kind account) {
+account_table::account_of(const std::string& name, account_kind account) {
     return accounts_[name][static_cast<std::size_t>(account)];
 }
 
-policy::draw_result usage_book::draw(
+policy::draw_result account_table::draw(
     const traffic::organisation& who, account_kind account, double cost,
     base::steady_time now) {
     if (accounts_.size() >= max_accounts)
         drop_idle(now);
-    policy::usage_account& drawn = account_of(who.name, account);
+    policy::usage_account& drawn_account = account_of(who.name, account);
     if (account == account_kind::deputy)
-        policy::stand_in(drawn, now);
-    return policy::draw(drawn, terms(who.limit, account), cost, now);
+        policy::stand_in(drawn_account, now);
+    return policy::draw(drawn_account, terms(who.limit, account), cost, now);
 }
 
-void usage_book::give_back(
+void account_table::refund(
     const traffic::organisation& who, const std::string& host,
-    const usage_return& unused, base::steady_time now) {
-    if (!accounts_.contains(who.name) || !note_return(host, unused.number, now))
+    const usage_refund& unused, base::steady_time now) {
+    if (!accounts_.contains(who.name) || !note_refund(host, unused.number, now))
         return;
     policy::give_back(
         account_of(who.name, unused.account), terms(who.limit, unused.account),
         unused.cost, now);
 }
 
-void usage_book::charge(
+void account_table::charge(
     const traffic::organisation& who, double cost, base::steady_time now) {
     policy::charge(
         account_of(who.name, account_kind::keeper),
         terms(who.limit, account_kind::keeper), cost, now);
 }
 
-void usage_book::drop_idle(base::steady_time now) {
+void account_table::drop_idle(base::steady_time now) {
     const base::steady_time oldest = now - bounds_.window;
     absl::erase_if(accounts_, [oldest](const auto& item) {
         return std::all_of(
@@ -77,15 +77,15 @@
     });
 }
 
-bool usage_book::note_return(
+bool account_table::note_refund(
     const std::string& host, std::uint64_t number, base::steady_time now) {
-    if (now - returns_began_ > return_memory) {
-        older_returns_ = std::move(returns_);
-        returns_ = {};
-        returns_began_ = now;
+    if (now - refunds_began_ > duplicate_detection_time) {
+        older_refunds_ = std::move(refunds_);
+        refunds_ = {};
+        refunds_began_ = now;
     }
-    return !older_returns_.contains({host, number}) &&
-           returns_.emplace(host, number).second;
+    return !older_refunds_.contains({host, number}) &&
+           refunds_.emplace(host, number).second;
 }
 
 } // namespace mintknot::limits
--- a/libs/mintknotd-platform/limits/src/usage_book.hpp
+++ b/libs/mintknotd-platform/limits/src/account_table.hpp
@@ -17,9 +17,9 @@
 
 /// Accounts by organisation, each of three kinds. Bounded: with too many, those
 /// that have been idle longest begin anew.
-class usage_book {
+class account_table {
 public:
-    explicit usage_book(policy::usage_bounds bounds);
+    explicit account_table(policy::usage_bounds bounds);
 
     void set_bounds(const policy::usage_bounds& bounds) { bounds_ = bounds; }
     void set_shares(const policy::account_shares& shares) { shares_ = shares; }
@@ -30,9 +30,9 @@
 
     /// Puts back what a question of `host` was granted. A return that comes
     /// twice counts once.
-    void give_back(
+    void refund(
         const traffic::organisation& who, const std::string& host,
-        const usage_return& unused, base::steady_time now);
+        const usage_refund& unused, base::steady_time now);
 
     /// Takes out of the keeper's account what was granted elsewhere.
     void charge(
@@ -43,7 +43,7 @@
 private:
     using account_set = std::array<policy::usage_account, 3>;
     /// Numbers of returns, by host.
-    using return_set =
+    using refund_set =
         absl::flat_hash_set<std::pair<std::string, std::uint64_t>>;
 
     policy::usage_account&
@@ -52,15 +52,15 @@
     terms(const traffic::usage_limit& limit, account_kind account) const;
     void drop_idle(base::steady_time now);
     /// @return false if the return has been seen already.
-    bool note_return(
+    bool note_refund(
         const std::string& host, std::uint64_t number, base::steady_time now);
 
     policy::usage_bounds bounds_;
     policy::account_shares shares_;
     absl::flat_hash_map<std::string, account_set> accounts_;
-    return_set returns_;
-    return_set older_returns_;
-    base::steady_time returns_began_{}; ///< When `returns_` was begun.
+    refund_set refunds_;
+    refund_set older_refunds_;
+    base::steady_time refunds_began_{}; ///< When `refunds_` was begun.
 };
 
 } // namespace mintknot::limits
--- a/libs/mintknotd-platform/limits/src/group_tracker.cpp
+++ b/libs/mintknotd-platform/limits/src/group_tracker.cpp
@@ -4,7 +4,7 @@
 
 namespace mintknot::limits {
 
-policy::group_view group_tracker::look(
+policy::group_view group_tracker::update(
     const std::vector<group_peer>& heard, const std::string& data_centre,
     base::steady_time now) {
     policy::group_view view;
--- a/libs/mintknotd-platform/limits/src/group_tracker.hpp
+++ b/libs/mintknotd-platform/limits/src/group_tracker.hpp
@@ -19,7 +19,7 @@
         : started_(started) {}
 
     /// Looks at who is heard now. @param data_centre the own one.
-    policy::group_view look(
+    policy::group_view update(
         const std::vector<group_peer>& heard, const std::string& data_centre,
         base::steady_time now);
 
--- a/libs/mintknotd-platform/limits/src/keeper_directory.cpp
+++ b/libs/mintknotd-platform/limits/src/keeper_directory.cpp
@@ -10,30 +10,30 @@
 
 /// Shortest and longest time for which a silent host is passed over. A lost
 /// datagram costs the first, a peer is forgotten within some of the last.
-constexpr base::milliseconds min_suspicion{800};
-constexpr base::milliseconds max_suspicion{3200};
+constexpr base::milliseconds min_suspect_time{800};
+constexpr base::milliseconds max_suspect_time{3200};
 
 } // namespace
 
 void keeper_directory::set_hosts(
-    std::vector<std::string> all, std::vector<std::string> near) {
-    if (all_ != all)
+    std::vector<std::string> all, std::vector<std::string> local) {
+    if (all_hosts_ != all)
         keepers_.clear();
-    all_ = std::move(all);
-    near_ = std::move(near);
+    all_hosts_ = std::move(all);
+    local_hosts_ = std::move(local);
 }
 
-bool keeper_directory::suspected(
+bool keeper_directory::is_suspect(
     const std::string& host, base::steady_time now) const {
-    const auto found = suspected_.find(host);
-    return found != suspected_.end() && found->second.until > now;
+    const auto found = suspects_.find(host);
+    return found != suspects_.end() && found->second.until > now;
 }
 
 const std::string&
 keeper_directory::keeper_of(const std::string& organisation) {
     const auto [entry, added] = keepers_.try_emplace(organisation);
     if (added)
-        entry->second = base::rendezvous(organisation, all_);
+        entry->second = base::rendezvous(organisation, all_hosts_);
     return entry->second;
 }
 
@@ -42,18 +42,19 @@
     base::steady_time now) {
     if (account == account_kind::keeper) {
         const std::string& host = keeper_of(organisation);
-        return suspected(host, now) ? std::string() : host;
+        return is_suspect(host, now) ? std::string() : host;
     }
-    std::vector<std::string> hosts = near_;
+    std::vector<std::string> hosts = local_hosts_;
     std::erase_if(
-        hosts, [&](const std::string& host) { return suspected(host, now); });
+        hosts, [&](const std::string& host) { return is_suspect(host, now); });
     return base::rendezvous(organisation, hosts);
 }
 
 base::milliseconds
 keeper_directory::suspect(const std::string& host, base::steady_time now) {
-    suspicion& entry = suspected_[host];
-    entry.length = std::clamp(entry.length * 2, min_suspicion, max_suspicion);
+    suspicion& entry = suspects_[host];
+    entry.length =
+        std::clamp(entry.length * 2, min_suspect_time, max_suspect_time);
     entry.until = now + entry.length;
     return entry.length;
 }
--- a/libs/mintknotd-platform/limits/src/keeper_directory.hpp
+++ b/libs/mintknotd-platform/limits/src/keeper_directory.hpp
@@ -19,7 +19,8 @@
 class keeper_directory {
 public:
     /// Takes the hosts that stay, of all data centres and of the own one.
-    void set_hosts(std::vector<std::string> all, std::vector<std::string> near);
+    void
+    set_hosts(std::vector<std::string> all, std::vector<std::string> local);
 
     /// @return the host to ask; empty: there is none that answers.
     std::string host_of(
@@ -31,7 +32,7 @@
 
     /// @return how long the host is passed over from now on.
     base::milliseconds suspect(const std::string& host, base::steady_time now);
-    void trust(const std::string& host) { suspected_.erase(host); }
+    void clear_suspicion(const std::string& host) { suspects_.erase(host); }
 
 private:
     struct suspicion {
@@ -41,12 +42,12 @@
     /// Keepers that have been looked up among the present hosts.
     using keeper_cache = absl::flat_hash_map<std::string, std::string>;
 
-    bool suspected(const std::string& host, base::steady_time now) const;
+    bool is_suspect(const std::string& host, base::steady_time now) const;
 
-    std::vector<std::string> all_;
-    std::vector<std::string> near_;
+    std::vector<std::string> all_hosts_;
+    std::vector<std::string> local_hosts_;
     keeper_cache keepers_;
-    absl::flat_hash_map<std::string, suspicion> suspected_;
+    absl::flat_hash_map<std::string, suspicion> suspects_;
 };
 
 } // namespace mintknot::limits
--- a/libs/mintknotd-platform/limits/src/usage_accounts.cpp
+++ b/libs/mintknotd-platform/limits/src/usage_accounts.cpp
@@ -1,8 +1,8 @@
 #include <mintknot/limits/usage_accounts.hpp>
 
+#include "account_table.hpp"
 #include "group_tracker.hpp"
 #include "keeper_directory.hpp"
-#include "usage_book.hpp"
 #include "usage_messages.hpp"
 
 #include <mintknot/base/random.hpp>
@@ -18,15 +18,15 @@
 
 /// How long a keeper has for its answer: ten times the way there and back
 /// between data centres.
-constexpr base::milliseconds patience{30};
+constexpr base::milliseconds min_answer_timeout{30};
 
 /// How long an answer is waited for whose question has gone: what it grants
 /// goes back.
-constexpr base::milliseconds late_answer_life{2000};
+constexpr base::milliseconds late_answer_time{2000};
 
 /// How often the group is looked at anew. Heartbeats that show a change come as
 /// often.
-constexpr base::milliseconds group_age{200};
+constexpr base::milliseconds group_refresh_interval{200};
 
 /// A request that waits for a grant.
 struct waiting_request {
@@ -40,7 +40,7 @@
 };
 
 /// A question to another instance.
-struct open_question {
+struct outstanding_request {
     std::string host;
     std::string organisation;
     double cost = 0.0;
@@ -53,11 +53,11 @@
 
 struct usage_accounts::impl {
     impl(
-        relay::router_context& shared, account_ports outside,
+        relay::router_context& shared, usage_account_callbacks outside,
         const policy::usage_bounds& bounds)
         : router(shared)
-        , ports(std::move(outside))
-        , book(bounds)
+        , callbacks(std::move(outside))
+        , accounts(bounds)
         , group(shared.loop.now())
         , last_number(base::random_bits()) {}
 
@@ -71,33 +71,34 @@
     }
 
     /// Takes over who is heard, unless it did so a moment ago.
-    void look_at_group() {
-        if (looked_at && now() - *looked_at < group_age)
+    void refresh_group() {
+        if (refreshed_at && now() - *refreshed_at < group_refresh_interval)
             return;
-        looked_at = now();
-        const std::vector<group_peer> members = ports.members();
+        refreshed_at = now();
+        const std::vector<group_peer> members = callbacks.members();
         const std::string& here = router.options.data_centre;
         std::vector<std::string> all;
-        std::vector<std::string> near;
+        std::vector<std::string> local;
         for (const group_peer& member : members) {
             if (member.leaving)
                 continue;
             all.push_back(member.host);
             if (member.data_centre == here)
-                near.push_back(member.host);
+                local.push_back(member.host);
         }
-        if (ports.stays()) {
-            all.push_back(ports.own_host);
-            near.push_back(ports.own_host);
+        if (callbacks.may_keep_accounts()) {
+            all.push_back(callbacks.own_host);
+            local.push_back(callbacks.own_host);
         }
-        directory.set_hosts(std::move(all), std::move(near));
+        directory.set_hosts(std::move(all), std::move(local));
         policy::account_shares shares =
-            policy::shares_of(group.look(members, here, now()));
-        const std::size_t instances = ports.instances ? ports.instances() : 0;
+            policy::shares_of(group.update(members, here, now()));
+        const std::size_t instances =
+            callbacks.instance_count ? callbacks.instance_count() : 0;
         if (instances > 0)
             shares.own =
                 std::min(shares.own, 1.0 / static_cast<double>(instances));
-        book.set_shares(shares);
+        accounts.set_shares(shares);
     }
 
     std::uint64_t begin(
@@ -110,69 +111,70 @@
         entry->then = std::move(then);
         waiting.emplace(number, std::move(entry));
         // The contract: the answer never comes from within ask().
-        router.loop.post([this, number, alive = std::weak_ptr<bool>(life)] {
-            if (!alive.expired())
-                ask_next(number);
-        });
+        router.loop.post(
+            [this, number, alive = std::weak_ptr<bool>(alive_token)] {
+                if (!alive.expired())
+                    ask_current_account(number);
+            });
         return number;
     }
 
     /// Asks the account at hand, wherever it is kept.
-    void ask_next(std::uint64_t number) {
+    void ask_current_account(std::uint64_t number) {
         const auto found = waiting.find(number);
         if (found == waiting.end())
             return;
-        look_at_group();
+        refresh_group();
         waiting_request& entry = *found->second;
         while (entry.account != account_kind::own) {
             const std::string host =
                 directory.host_of(entry.organisation, entry.account, now());
-            if (host == ports.own_host)
+            if (host == callbacks.own_host)
                 break;
             if (!host.empty()) {
-                send_question(number, entry, host);
+                send_request(number, entry, host);
                 return;
             }
-            entry.account = next_of(entry.account);
+            entry.account = fallback_of(entry.account);
         }
-        draw_here(number, entry);
+        draw_locally(number, entry);
     }
 
-    static account_kind next_of(account_kind account) {
+    static account_kind fallback_of(account_kind account) {
         return account == account_kind::keeper ? account_kind::deputy
                                                : account_kind::own;
     }
 
-    void send_question(
+    void send_request(
         std::uint64_t number, waiting_request& entry, const std::string& host) {
-        drop_old_questions();
-        const std::uint64_t question = ++last_number;
-        questions[question] = {
+        drop_expired_requests();
+        const std::uint64_t request_number = ++last_number;
+        outstanding[request_number] = {
             host, entry.organisation, entry.cost, entry.account, number, now()};
-        ports.send(
-            host,
-            encode(usage_question{
-                question, entry.organisation, entry.cost, entry.account}));
+        callbacks.send(
+            host, encode(usage_request{
+                      request_number, entry.organisation, entry.cost,
+                      entry.account}));
         policy::note_asked(paces, host, now());
         entry.timer.start(
-            policy::patience_for(paces, host, patience),
-            [this, number, host] { on_silence(number, host); });
+            policy::patience_for(paces, host, min_answer_timeout),
+            [this, number, host] { on_answer_timeout(number, host); });
     }
 
-    void on_silence(std::uint64_t number, const std::string& host) {
+    void on_answer_timeout(std::uint64_t number, const std::string& host) {
         const base::milliseconds length = directory.suspect(host, now());
         router.log.write(
             "keeper_silent", {{"host", host}, {"for_ms", length.count()}});
-        ask_again(number);
+        ask_next_account(number);
     }
 
     /// The account at hand gave no verdict.
-    void ask_again(std::uint64_t number) {
+    void ask_next_account(std::uint64_t number) {
         const auto found = waiting.find(number);
         if (found == waiting.end())
             return;
-        found->second->account = next_of(found->second->account);
-        ask_next(number);
+        found->second->account = fallback_of(found->second->account);
+        ask_current_account(number);
     }
 
     /// @return nothing if the organisation is not known here. One that has no
@@ -184,141 +186,142 @@
             return std::nullopt;
         if (!who->limit.limited())
             return policy::draw_result{true, base::milliseconds{0}};
-        return book.draw(*who, account, cost, now());
+        return accounts.draw(*who, account, cost, now());
     }
 
-    void draw_here(std::uint64_t number, waiting_request& entry) {
+    void draw_locally(std::uint64_t number, waiting_request& entry) {
         // Whose organisation has gone is refused for its key before it runs.
         const policy::draw_result drawn =
             draw(entry.organisation, entry.account, entry.cost)
                 .value_or(policy::draw_result{true, base::milliseconds{0}});
-        relay::usage_grant told;
-        told.granted = drawn.granted;
-        told.come_back = drawn.come_back;
-        finish(number, ports.own_host, number, std::move(told));
+        relay::usage_grant grant;
+        grant.granted = drawn.granted;
+        grant.come_back = drawn.come_back;
+        finish(number, callbacks.own_host, number, std::move(grant));
     }
 
     /// @param question number under which a grant may be given back.
     void finish(
-        std::uint64_t number, const std::string& host, std::uint64_t question,
-        relay::usage_grant told) {
+        std::uint64_t number, const std::string& host,
+        std::uint64_t request_number, relay::usage_grant grant) {
         auto node = waiting.extract(number);
         waiting_request& entry = *node.mapped();
         entry.timer.stop();
-        told.keeper = host;
-        told.account = static_cast<int>(entry.account);
-        told.number = question;
-        told.cost = entry.cost;
-        count(told.granted, entry.account);
-        if (told.granted && entry.account != account_kind::keeper)
+        grant.keeper = host;
+        grant.account = static_cast<int>(entry.account);
+        grant.number = request_number;
+        grant.cost = entry.cost;
+        count(grant.granted, entry.account);
+        if (grant.granted && entry.account != account_kind::keeper)
             charge_keeper(entry.organisation, entry.cost);
         const relay::usage_handler then = std::move(entry.then);
-        then(told);
+        then(grant);
     }
 
     /// Tells the keeper what was granted without it.
     void charge_keeper(const std::string& organisation, double cost) {
         const std::string& keeper = directory.keeper_of(organisation);
-        if (keeper != ports.own_host)
-            ports.send(keeper, encode(usage_charge{organisation, cost}));
+        if (keeper != callbacks.own_host)
+            callbacks.send(keeper, encode(usage_charge{organisation, cost}));
     }
 
     void count(bool granted, account_kind account) {
         ++(granted ? counters.granted : counters.refused);
         if (granted && account == account_kind::deputy)
-            ++counters.deputised;
+            ++counters.granted_by_deputies;
         if (granted && account == account_kind::own)
-            ++counters.alone;
+            ++counters.granted_alone;
     }
 
-    void drop_old_questions() {
-        const base::steady_time oldest = now() - late_answer_life;
-        while (!questions.empty() && questions.begin()->second.asked < oldest)
-            questions.erase(questions.begin());
+    void drop_expired_requests() {
+        const base::steady_time oldest = now() - late_answer_time;
+        while (!outstanding.empty() &&
+               outstanding.begin()->second.asked < oldest)
+            outstanding.erase(outstanding.begin());
     }
 
-    void give_back(const std::string& host, const usage_return& unused) {
-        if (host != ports.own_host) {
-            ports.send(host, encode(unused));
+    void refund(const std::string& host, const usage_refund& unused) {
+        if (host != callbacks.own_host) {
+            callbacks.send(host, encode(unused));
             return;
         }
         on_message(host, unused);
     }
 
-    void on_message(const std::string& host, const usage_question& question) {
-        look_at_group();
+    void on_message(const std::string& host, const usage_request& request) {
+        refresh_group();
         usage_answer answer;
-        answer.number = question.number;
+        answer.number = request.number;
         const auto drawn =
-            draw(question.organisation, question.account, question.cost);
+            draw(request.organisation, request.account, request.cost);
         if (drawn) {
             answer.verdict = drawn->granted ? usage_verdict::granted
                                             : usage_verdict::refused;
-            answer.come_back = drawn->come_back;
+            answer.retry_after = drawn->come_back;
         }
-        ports.send(host, encode(answer));
+        callbacks.send(host, encode(answer));
     }
 
     void on_message(const std::string& host, const usage_answer& answer) {
         policy::note_answered(paces, host, now());
-        const auto found = questions.find(answer.number);
-        if (found == questions.end() || found->second.host != host)
+        const auto found = outstanding.find(answer.number);
+        if (found == outstanding.end() || found->second.host != host)
             return;
-        directory.trust(host);
-        const open_question question = std::move(found->second);
-        questions.erase(found);
-        const auto request = waiting.find(question.waiting);
-        const bool waited_for = request != waiting.end() &&
-                                request->second->account == question.account;
-        if (!waited_for) {
+        directory.clear_suspicion(host);
+        const outstanding_request request = std::move(found->second);
+        outstanding.erase(found);
+        const auto waiter = waiting.find(request.waiting);
+        const bool is_awaited = waiter != waiting.end() &&
+                                waiter->second->account == request.account;
+        if (!is_awaited) {
             if (answer.verdict == usage_verdict::granted)
-                give_back(
-                    host, {answer.number, question.organisation, question.cost,
-                           question.account});
+                refund(
+                    host, {answer.number, request.organisation, request.cost,
+                           request.account});
             return;
         }
         if (answer.verdict == usage_verdict::unknown) {
-            request->second->timer.stop();
-            ask_again(question.waiting);
+            waiter->second->timer.stop();
+            ask_next_account(request.waiting);
             return;
         }
-        relay::usage_grant told;
-        told.granted = answer.verdict == usage_verdict::granted;
-        told.come_back = answer.come_back;
-        finish(question.waiting, host, answer.number, std::move(told));
+        relay::usage_grant grant;
+        grant.granted = answer.verdict == usage_verdict::granted;
+        grant.come_back = answer.retry_after;
+        finish(request.waiting, host, answer.number, std::move(grant));
     }
 
-    void on_message(const std::string&, const usage_charge& granted) {
-        const traffic::organisation* who = find(granted.organisation);
+    void on_message(const std::string&, const usage_charge& charge) {
+        const traffic::organisation* who = find(charge.organisation);
         if (who != nullptr && who->limit.limited())
-            book.charge(*who, granted.cost, now());
+            accounts.charge(*who, charge.cost, now());
     }
 
-    void on_message(const std::string& host, const usage_return& unused) {
+    void on_message(const std::string& host, const usage_refund& unused) {
         const traffic::organisation* who = find(unused.organisation);
         if (who != nullptr)
-            book.give_back(*who, host, unused, now());
+            accounts.refund(*who, host, unused, now());
     }
 
     relay::router_context& router;
-    account_ports ports;
-    usage_book book;
+    usage_account_callbacks callbacks;
+    account_table accounts;
     group_tracker group;
     keeper_directory directory;
     policy::answer_paces paces;
-    std::optional<base::steady_time> looked_at;
+    std::optional<base::steady_time> refreshed_at;
     std::uint64_t last_number;
     std::map<std::uint64_t, std::unique_ptr<waiting_request>> waiting;
     /// In the order in which they were asked.
-    std::map<std::uint64_t, open_question> questions;
+    std::map<std::uint64_t, outstanding_request> outstanding;
     account_counters counters;
-    std::shared_ptr<bool> life = std::make_shared<bool>(true);
+    std::shared_ptr<bool> alive_token = std::make_shared<bool>(true);
 };
 
 usage_accounts::usage_accounts(
-    relay::router_context& router, account_ports ports,
+    relay::router_context& router, usage_account_callbacks callbacks,
     const policy::usage_bounds& bounds)
-    : impl_(std::make_unique<impl>(router, std::move(ports), bounds)) {}
+    : impl_(std::make_unique<impl>(router, std::move(callbacks), bounds)) {}
 
 usage_accounts::~usage_accounts() = default;
 
@@ -326,18 +329,18 @@
     const traffic::organisation& who, double cost, relay::usage_handler then) {
     const std::uint64_t number = impl_->begin(who, cost, std::move(then));
     return std::make_unique<relay::withdrawing_ticket>(
-        impl_->life, [this, number] { impl_->waiting.erase(number); });
+        impl_->alive_token, [this, number] { impl_->waiting.erase(number); });
 }
 
 void usage_accounts::give_back(
     const std::string& organisation, const relay::usage_grant& unused) {
-    impl_->give_back(
+    impl_->refund(
         unused.keeper, {unused.number, organisation, unused.cost,
                         static_cast<account_kind>(unused.account)});
 }
 
 void usage_accounts::set_bounds(const policy::usage_bounds& bounds) {
-    impl_->book.set_bounds(bounds);
+    impl_->accounts.set_bounds(bounds);
 }
 
 bool usage_accounts::receive(
--- a/libs/mintknotd-platform/limits/src/usage_messages.cpp
+++ b/libs/mintknotd-platform/limits/src/usage_messages.cpp
@@ -13,26 +13,26 @@
 
 /// First element of a message; heartbeats have 1, placements 2 to 4, loans 5
 /// and 6, demand reports 7.
-constexpr int question_format = 8;
+constexpr int request_format = 8;
 constexpr int answer_format = 9;
-constexpr int return_format = 10;
+constexpr int refund_format = 10;
 constexpr int charge_format = 11;
 
-json to_json(const usage_question& value) {
+json to_json(const usage_request& value) {
     return {
-        question_format, value.number, value.organisation,
+        request_format, value.number, value.organisation,
         std::llround(value.cost), static_cast<int>(value.account)};
 }
 
 json to_json(const usage_answer& value) {
     return {
         answer_format, value.number, static_cast<int>(value.verdict),
-        value.come_back.count()};
+        value.retry_after.count()};
 }
 
-json to_json(const usage_return& value) {
+json to_json(const usage_refund& value) {
     return {
-        return_format, value.number, value.organisation,
+        refund_format, value.number, value.organisation,
         std::llround(value.cost), static_cast<int>(value.account)};
 }
 
@@ -69,7 +69,7 @@
     usage_answer value;
     value.number = row.at(1).get<std::uint64_t>();
     value.verdict = enumerator(row.at(2), usage_verdict::refused);
-    value.come_back = base::milliseconds(row.at(3).get<std::int64_t>());
+    value.retry_after = base::milliseconds(row.at(3).get<std::int64_t>());
     return value;
 }
 
@@ -79,19 +79,19 @@
 
 /// The first element is a small number right behind the array's own byte: most
 /// datagrams are of other kinds, and not to be parsed twice.
-bool may_be_usage(std::string_view datagram) {
-    return datagram.size() >= 2 && datagram[1] >= question_format &&
+bool may_be_usage_message(std::string_view datagram) {
+    return datagram.size() >= 2 && datagram[1] >= request_format &&
            datagram[1] <= charge_format;
 }
 
 usage_message message_from(const json& row) {
     switch (row.at(0).get<int>()) {
-    case question_format:
-        return account_message_from<usage_question>(row);
+    case request_format:
+        return account_message_from<usage_request>(row);
     case answer_format:
         return answer_from(row);
-    case return_format:
-        return account_message_from<usage_return>(row);
+    case refund_format:
+        return account_message_from<usage_refund>(row);
     case charge_format:
         return charge_from(row);
     default:
@@ -109,7 +109,7 @@
 }
 
 absl::StatusOr<usage_message> decode_usage(std::string_view datagram) {
-    if (!may_be_usage(datagram))
+    if (!may_be_usage_message(datagram))
         return absl::InvalidArgumentError("no message about usage");
     const json row =
         json::from_msgpack(datagram.begin(), datagram.end(), true, false);
--- a/libs/mintknotd-platform/limits/src/usage_messages.hpp
+++ b/libs/mintknotd-platform/limits/src/usage_messages.hpp
@@ -22,7 +22,7 @@
 };
 
 /// Asks to draw from an account.
-struct usage_question {
+struct usage_request {
     std::uint64_t number = 0; ///< The answer repeats it.
     std::string organisation;
     double cost = 0.0;
@@ -38,11 +38,11 @@
 struct usage_answer {
     std::uint64_t number = 0;
     usage_verdict verdict = usage_verdict::unknown;
-    base::milliseconds come_back{0}; ///< If refused.
+    base::milliseconds retry_after{0}; ///< If refused.
 };
 
 /// Returns what was granted to the question of that number.
-struct usage_return {
+struct usage_refund {
     std::uint64_t number = 0;
     std::string organisation;
     double cost = 0.0;
@@ -56,7 +56,7 @@
 };
 
 using usage_message =
-    std::variant<usage_question, usage_answer, usage_return, usage_charge>;
+    std::variant<usage_request, usage_answer, usage_refund, usage_charge>;
 
 /// @return the message in MessagePack.
 std::string encode(const usage_message& value);
--- a/libs/mintknotd-platform/limits/tests/group_play.hpp
+++ b/libs/mintknotd-platform/limits/tests/group_simulation.hpp
@@ -4,9 +4,9 @@
 #ifndef MINTKNOT_LIMITS_TESTS_GROUP_PLAY_HPP
 #define MINTKNOT_LIMITS_TESTS_GROUP_PLAY_HPP
 
+#include "account_table.hpp"
 #include "group_tracker.hpp"
 #include "keeper_directory.hpp"
-#include "usage_book.hpp"
 
 #include <deque>
 #include <functional>
@@ -18,39 +18,42 @@
 namespace mintknot::limits::tests {
 
 /// How the group decides.
-enum class way {
-    accounts,    ///< A keeper, deputies, and each alone: the product's.
-    equal_parts, ///< Each instance has an equal part of the limit, no messages.
-    keeper_alone ///< A keeper; who cannot reach it lets everything in.
+enum class limit_strategy {
+    accounts,     ///< A keeper, deputies, and each alone: the product's.
+    equal_shares, ///< Each instance has an equal part of the limit, no
+                  ///< messages.
+    keeper_only   ///< A keeper; who cannot reach it lets everything in.
 };
 
-struct play_terms {
+struct simulation_options {
     std::size_t instances = 88;
-    way how = way::accounts;
+    limit_strategy strategy = limit_strategy::accounts;
     unsigned seed = 1;
     double load = 1.0; ///< Of the rate.
     /// Where requests come in; default: anywhere.
-    std::function<std::size_t(std::mt19937&, std::size_t instances)> entry;
+    std::function<std::size_t(std::mt19937&, std::size_t instances)>
+        pick_instance;
     double loss = 0.0; ///< Of questions.
 };
 
-struct play_result {
+struct simulation_result {
     double largest_window = 0.0; ///< Over the bound.
-    double inside_refused = 0.0; ///< Share of the requests inside the limit.
-    double used = 0.0;           ///< Of what the limit allowed to run in all.
+    double refused_within_limit =
+        0.0;           ///< Share of the requests within_limit the limit.
+    double used = 0.0; ///< Of what the limit allowed to run in all.
 };
 
 /// Plays requests of one organisation: a quarter are streams of some 5,300
-/// tokens, the others cost 200. What is inside the limit is told by one account
-/// that sees everything.
-class group_play {
+/// tokens, the others cost 200. What is within_limit the limit is told by one
+/// account that sees everything.
+class group_simulation {
 public:
-    explicit group_play(play_terms terms);
+    explicit group_simulation(simulation_options options);
 
     /// Plays so long.
     void run(base::milliseconds time);
     /// What has been seen since the last call.
-    play_result take_result();
+    simulation_result take_result();
 
     std::size_t keeper() const;
     void kill(std::size_t instance, base::milliseconds down);
@@ -60,28 +63,28 @@
     /// Cuts a data centre off from the others.
     void cut(std::size_t data_centre, base::milliseconds time);
     void add(std::size_t instances);
-    void set_load(double load) { terms_.load = load; }
+    void set_load(double load) { options_.load = load; }
     void set_rate(double rate);
 
 private:
     struct member {
-        std::unique_ptr<usage_book> book;
+        std::unique_ptr<account_table> book;
         std::unique_ptr<group_tracker> group;
         keeper_directory directory;
         base::steady_time dead_until{};
         base::steady_time frozen_until{};
-        base::steady_time looked{};
+        base::steady_time refreshed_at{};
         std::vector<base::steady_time> heard; ///< By instance.
-        double owed = 0.0; ///< Charges that wait for it to thaw.
+        double pending_charges = 0.0; ///< Charges that wait for it to thaw.
     };
 
     void start(std::size_t instance);
     bool connected(std::size_t left, std::size_t right) const;
     bool runs(std::size_t instance) const;
     /// Restarts who was dead, and gives who was frozen what has waited.
-    void wake();
-    void beat();
-    void look(std::size_t instance);
+    void resume_instances();
+    void exchange_heartbeats();
+    void refresh(std::size_t instance);
     void request();
     bool admit(std::size_t instance, double cost);
     bool
@@ -90,11 +93,11 @@
     void note_run(double cost);
     double bound() const;
 
-    play_terms terms_;
+    simulation_options options_;
     traffic::organisation who_;
     std::mt19937 random_;
     base::steady_time now_;
-    base::steady_time beat_at_;
+    base::steady_time next_heartbeat_;
     std::vector<member> members_;
     std::size_t cut_ = 0;
     base::steady_time cut_until_{};
@@ -104,7 +107,7 @@
     double largest_ = 0.0;
     double run_ = 0.0;
     double allowed_ = 0.0;
-    std::size_t inside_ = 0;
+    std::size_t within_limit_ = 0;
     std::size_t refused_ = 0;
 };
 
--- a/libs/mintknotd-platform/limits/tests/test_usage_accounts.cpp
+++ b/libs/mintknotd-platform/limits/tests/test_usage_accounts.cpp
@@ -37,13 +37,13 @@
     }
 
     void add(const std::string& host) {
-        account_ports ports;
-        ports.own_host = host;
-        ports.send =
+        usage_account_callbacks callbacks;
+        callbacks.own_host = host;
+        callbacks.send =
             [this, host](const std::string& to, const std::string& datagram) {
                 const auto message = decode_usage(datagram);
                 cr_assert(message.ok());
-                if (std::holds_alternative<usage_question>(*message))
+                if (std::holds_alternative<usage_request>(*message))
                     asked.push_back(to);
                 else if (std::holds_alternative<usage_charge>(*message))
                     charged.push_back(to);
@@ -53,16 +53,16 @@
                     cr_assert(members.at(to)->receive(host, datagram));
                 });
             };
-        ports.members = [this, host] {
+        callbacks.members = [this, host] {
             std::vector<group_peer> others;
             for (const auto& [name, member] : members)
                 if (name != host)
                     others.push_back({name, "a", false});
             return others;
         };
-        ports.stays = [] { return true; };
+        callbacks.may_keep_accounts = [] { return true; };
         members[host] =
-            std::make_unique<usage_accounts>(f.context, ports, bounds);
+            std::make_unique<usage_accounts>(f.context, callbacks, bounds);
     }
 
     const traffic::organisation& who() const {
@@ -111,17 +111,17 @@
     cr_assert(g.ask("h2", 300.0).granted);
 }
 
-Test(usage_accounts, where_nobody_answers_an_instance_has_its_own_part) {
+Test(usage_accounts, own_share_is_used_when_no_peer_answers) {
     group g(3);
     g.silent = {"h0", "h1", "h2"};
     cr_assert(g.ask("h0", 100.0).granted);
     cr_assert(!g.ask("h0", 840.0).granted);
     const account_counters& seen = g.members.at("h0")->counters();
     cr_assert(seen.granted == 1 && seen.refused == 1);
-    cr_assert(seen.alone + seen.deputised <= 1);
+    cr_assert(seen.granted_alone + seen.granted_by_deputies <= 1);
 }
 
-Test(usage_accounts, a_silent_keeper_is_not_waited_for_again) {
+Test(usage_accounts, silent_keeper_is_not_asked_again_soon) {
     group g(3);
     for (const char* host : {"h0", "h1", "h2"})
         g.ask(host, 1.0);
@@ -138,7 +138,7 @@
     cr_assert(std::count(g.charged.begin(), g.charged.end(), keeper) == 6);
 }
 
-Test(usage_accounts, a_withdrawn_question_returns_what_it_was_granted) {
+Test(usage_accounts, cancelled_request_refunds_its_grant) {
     group g(2);
     g.ask("h0", 1.0);
     g.ask("h1", 1.0);
@@ -154,7 +154,7 @@
     cr_assert(g.ask(asker, 150.0).granted);
 }
 
-Test(usage_accounts, other_datagrams_are_not_theirs) {
+Test(usage_accounts, unrelated_datagrams_are_rejected) {
     group g(1);
     for (const char* datagram : {"", "x", "\x93\x02\x01"})
         cr_assert(!g.members.at("h0")->receive("h1", datagram));
--- a/libs/mintknotd-platform/limits/tests/test_usage_bound.cpp
+++ b/libs/mintknotd-platform/limits/tests/test_usage_bound.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// The limit of an organisation over a whole group, under faults.
 
-#include "group_play.hpp"
+#include "group_simulation.hpp"
 
 #include <criterion/criterion.h>
 #include <fmt/format.h>
@@ -17,48 +17,48 @@
 
 /// One organisation at several times its limit, as the hottest of the shifted
 /// deployment is.
-constexpr double hot = 4.2;
-/// What an organisation uses of its limit on a calm day.
-constexpr double calm = 0.55;
+constexpr double overload = 4.2;
+/// What an organisation uses of its limit on a normal_load day.
+constexpr double normal_load = 0.55;
 
-using fault = std::function<void(group_play&)>;
+using fault = std::function<void(group_simulation&)>;
 
-const fault none = [](group_play&) {};
-const fault keeper_dies = [](group_play& group) {
+const fault none = [](group_simulation&) {};
+const fault keeper_dies = [](group_simulation& group) {
     group.kill(group.keeper(), milliseconds{2000});
 };
-const fault keeper_is_lost = [](group_play& group) {
+const fault keeper_is_lost = [](group_simulation& group) {
     group.kill(group.keeper(), seconds(3600));
 };
-const fault keeper_freezes = [](group_play& group) {
+const fault keeper_freezes = [](group_simulation& group) {
     group.freeze(group.keeper(), milliseconds{4000});
 };
-const fault all_die = [](group_play& group) {
+const fault all_die = [](group_simulation& group) {
     group.kill_all(milliseconds{1000});
 };
-const fault data_centre_is_cut = [](group_play& group) {
+const fault keeper_data_centre_is_cut = [](group_simulation& group) {
     group.cut(group.keeper() % 3, milliseconds{6000});
 };
-const fault other_data_centre_is_cut = [](group_play& group) {
+const fault other_data_centre_is_cut = [](group_simulation& group) {
     group.cut((group.keeper() + 1) % 3, milliseconds{6000});
 };
-/// An organisation that was calm sends many times its usual; a second later a
-/// data centre is cut off.
-const fault cut_behind_a_rise = [](group_play& group) {
-    group.set_load(hot);
+/// An organisation that was normal_load sends many times its usual; a second
+/// later a data centre is cut off.
+const fault cut_after_load_increase = [](group_simulation& group) {
+    group.set_load(overload);
     group.run(seconds(1));
     group.cut((group.keeper() + 1) % 3, milliseconds{6000});
 };
-const fault keepers_cut_behind_a_rise = [](group_play& group) {
-    group.set_load(hot);
+const fault keeper_cut_after_load_increase = [](group_simulation& group) {
+    group.set_load(overload);
     group.run(seconds(1));
     group.cut(group.keeper() % 3, milliseconds{6000});
 };
-const fault group_grows = [](group_play& group) { group.add(66); };
+const fault group_grows = [](group_simulation& group) { group.add(66); };
 
 /// Plays ten seconds, then the fault and sixteen seconds more.
-play_result play(play_terms terms, const fault& happens) {
-    group_play group(std::move(terms));
+simulation_result simulate(simulation_options options, const fault& happens) {
+    group_simulation group(std::move(options));
     group.run(seconds(10));
     happens(group);
     group.run(seconds(16));
@@ -72,31 +72,33 @@
 }
 
 /// @return the worst of some seeds.
-play_result worst(const char* what, play_terms terms, const fault& happens) {
-    play_result result;
+simulation_result simulate_worst(
+    const char* what, simulation_options options, const fault& happens) {
+    simulation_result result;
     for (unsigned seed = 1; seed <= seeds(); ++seed) {
-        terms.seed = seed;
-        const play_result one = play(terms, happens);
+        options.seed = seed;
+        const simulation_result one = simulate(options, happens);
         result.largest_window =
             std::max(result.largest_window, one.largest_window);
-        result.inside_refused =
-            std::max(result.inside_refused, one.inside_refused);
+        result.refused_within_limit =
+            std::max(result.refused_within_limit, one.refused_within_limit);
         result.used = seed == 1 ? one.used : std::min(result.used, one.used);
     }
     fmt::print(
         "{:<44} {:>4} instances, load {:.2f}: window {:.3f}, used {:.3f}, "
         "refused {:.4f}\n",
-        what, terms.instances, terms.load, result.largest_window, result.used,
-        result.inside_refused);
+        what, options.instances, options.load, result.largest_window,
+        result.used, result.refused_within_limit);
     return result;
 }
 
-void expect_bound(const char* what, const fault& happens, double load = hot) {
+void expect_bound(
+    const char* what, const fault& happens, double load = overload) {
     for (const std::size_t instances : {9, 88, 295}) {
-        play_terms terms;
-        terms.instances = instances;
-        terms.load = load;
-        const play_result seen = worst(what, terms, happens);
+        simulation_options options;
+        options.instances = instances;
+        options.load = load;
+        const simulation_result seen = simulate_worst(what, options, happens);
         cr_assert(
             seen.largest_window <= 1.0, "%s: %.3f of the bound with %zu", what,
             seen.largest_window, instances);
@@ -106,13 +108,14 @@
 void expect_served(
     const char* what, const fault& happens, double share_refused) {
     for (const std::size_t instances : {9, 88, 295}) {
-        play_terms terms;
-        terms.instances = instances;
-        terms.load = calm;
-        const play_result seen = worst(what, terms, happens);
+        simulation_options options;
+        options.instances = instances;
+        options.load = normal_load;
+        const simulation_result seen = simulate_worst(what, options, happens);
         cr_assert(
-            seen.inside_refused <= share_refused, "%s: %.4f refused with %zu",
-            what, seen.inside_refused, instances);
+            seen.refused_within_limit <= share_refused,
+            "%s: %.4f refused with %zu", what, seen.refused_within_limit,
+            instances);
     }
 }
 
@@ -122,89 +125,101 @@
     expect_bound("no fault", none);
 }
 
-Test(usage_bound, holds_where_the_keeper_dies) {
+Test(usage_bound, holds_when_keeper_dies) {
     expect_bound("keeper dies for 2 s", keeper_dies);
     expect_bound("keeper is lost", keeper_is_lost);
 }
 
-Test(usage_bound, holds_where_the_keeper_freezes) {
+Test(usage_bound, holds_when_keeper_freezes) {
     expect_bound("keeper freezes for 4 s", keeper_freezes);
 }
 
-Test(usage_bound, holds_where_all_die) {
+Test(usage_bound, holds_when_all_instances_die) {
     expect_bound("all die for 1 s", all_die);
 }
 
-Test(usage_bound, holds_where_a_data_centre_is_cut_off) {
-    expect_bound("keeper's data centre cut off", data_centre_is_cut);
+Test(usage_bound, holds_when_data_centre_is_partitioned) {
+    expect_bound("keeper's data centre cut off", keeper_data_centre_is_cut);
     expect_bound("another data centre cut off", other_data_centre_is_cut);
 }
 
-Test(usage_bound, holds_where_a_cut_follows_a_rise) {
-    expect_bound("cut a second behind a rise", cut_behind_a_rise, calm);
+Test(usage_bound, holds_when_partition_follows_load_increase) {
     expect_bound(
-        "keeper's cut a second behind a rise", keepers_cut_behind_a_rise, calm);
+        "cut a second behind a rise", cut_after_load_increase, normal_load);
+    expect_bound(
+        "keeper's cut a second behind a rise", keeper_cut_after_load_increase,
+        normal_load);
 }
 
-Test(usage_bound, holds_where_the_group_grows) {
+Test(usage_bound, holds_when_group_grows) {
     expect_bound("66 instances more", group_grows);
 }
 
-Test(usage_bound, holds_where_datagrams_are_lost) {
-    play_terms terms;
-    terms.load = hot;
-    terms.loss = 0.05;
-    cr_assert(worst("5% lost", terms, none).largest_window <= 1.0);
+Test(usage_bound, holds_when_datagrams_are_lost) {
+    simulation_options options;
+    options.load = overload;
+    options.loss = 0.05;
+    cr_assert(simulate_worst("5% lost", options, none).largest_window <= 1.0);
 }
 
-Test(usage_bound, holds_at_four_hundred) {
-    play_terms terms;
-    terms.instances = 400;
-    terms.load = hot;
-    cr_assert(worst("all die for 1 s", terms, all_die).largest_window <= 1.0);
+Test(usage_bound, holds_with_400_instances) {
+    simulation_options options;
+    options.instances = 400;
+    options.load = overload;
+    cr_assert(
+        simulate_worst("all die for 1 s", options, all_die).largest_window <=
+        1.0);
     cr_assert(
-        worst("keeper's data centre cut off", terms, data_centre_is_cut)
+        simulate_worst(
+            "keeper's data centre cut off", options, keeper_data_centre_is_cut)
             .largest_window <= 1.0);
 }
 
-Test(usage_bound, calm_loads_are_served_whole) {
+Test(usage_bound, normal_load_is_never_refused) {
     expect_served("no fault", none, 0.0);
 }
 
-Test(usage_bound, calm_loads_hardly_notice_a_keeper_that_goes) {
+Test(usage_bound, normal_load_is_rarely_refused_under_faults) {
     expect_served("keeper dies for 2 s", keeper_dies, 0.002);
     expect_served("keeper freezes for 4 s", keeper_freezes, 0.002);
     expect_served("66 instances more", group_grows, 0.002);
 }
 
-Test(usage_bound, a_load_at_one_instance_is_served_whole) {
-    play_terms terms;
-    terms.load = calm;
-    terms.entry = [](std::mt19937&, std::size_t) { return std::size_t{4}; };
-    cr_assert(worst("all at one instance", terms, none).inside_refused == 0.0);
+Test(usage_bound, load_at_one_instance_is_never_refused) {
+    simulation_options options;
+    options.load = normal_load;
+    options.pick_instance = [](std::mt19937&, std::size_t) {
+        return std::size_t{4};
+    };
+    cr_assert(
+        simulate_worst("all at one instance", options, none)
+            .refused_within_limit == 0.0);
 }
 
-Test(usage_bound, equal_parts_refuse_what_is_inside_the_limit) {
+Test(usage_bound, equal_shares_refuse_requests_within_limit) {
     // The way not taken.
-    play_terms terms;
-    terms.load = calm;
-    terms.how = way::equal_parts;
-    cr_assert(worst("equal parts", terms, none).inside_refused > 0.02);
+    simulation_options options;
+    options.load = normal_load;
+    options.strategy = limit_strategy::equal_shares;
+    cr_assert(
+        simulate_worst("equal parts", options, none).refused_within_limit >
+        0.02);
 }
 
-Test(usage_bound, a_keeper_without_deputies_does_not_keep_the_bound) {
+Test(usage_bound, keeper_without_deputies_exceeds_bound) {
     // The way not taken: a cut data centre lets everything in.
-    play_terms terms;
-    terms.load = hot;
-    terms.how = way::keeper_alone;
+    simulation_options options;
+    options.load = overload;
+    options.strategy = limit_strategy::keeper_only;
     cr_assert(
-        worst("keeper alone", terms, data_centre_is_cut).largest_window > 1.0);
+        simulate_worst("keeper alone", options, keeper_data_centre_is_cut)
+            .largest_window > 1.0);
 }
 
-Test(usage_bound, a_lower_limit_binds_one_window_later) {
-    play_terms terms;
-    terms.load = hot;
-    group_play group(terms);
+Test(usage_bound, lowered_limit_holds_after_one_window) {
+    simulation_options options;
+    options.load = overload;
+    group_simulation group(options);
     group.run(seconds(10));
     group.set_rate(30000.0);
     group.run(milliseconds{8000});
@@ -212,7 +227,7 @@
     group.run(seconds(10));
     cr_assert(group.take_result().largest_window <= 1.0);
     group.set_rate(180000.0);
-    group.set_load(calm);
+    group.set_load(normal_load);
     group.run(seconds(10));
-    cr_assert(group.take_result().inside_refused <= 0.01);
+    cr_assert(group.take_result().refused_within_limit <= 0.01);
 }
--- a/libs/mintknotd-platform/runtime/src/instance_impl.hpp
+++ b/libs/mintknotd-platform/runtime/src/instance_impl.hpp
@@ -34,9 +34,9 @@
     /// @return what sends a datagram to the instance on a host.
     std::function<void(const std::string& host, const std::string& datagram)>
     datagram_sender();
-    scheduling::placer_ports placer_functions();
-    limits::account_ports account_functions();
-    crashes::watch_ports crash_functions();
+    scheduling::placer_callbacks placer_functions();
+    limits::usage_account_callbacks account_functions();
+    crashes::crash_watch_callbacks crash_functions();
     std::vector<std::string> crash_judges() const;
     /// @return members of the data centre that are no super-peers, where they
     /// ask this instance.
--- a/libs/mintknotd-platform/runtime/src/instance_wiring.cpp
+++ b/libs/mintknotd-platform/runtime/src/instance_wiring.cpp
@@ -162,7 +162,7 @@
     };
 }
 
-scheduling::placer_ports instance::impl::placer_functions() {
+scheduling::placer_callbacks instance::impl::placer_functions() {
     return {
         settings.peer.host, datagram_sender(),
         [this](const std::string& data_centre) {
@@ -172,7 +172,7 @@
         [this] { return documents.knows_servers(); }};
 }
 
-limits::account_ports instance::impl::account_functions() {
+limits::usage_account_callbacks instance::impl::account_functions() {
     return {
         settings.peer.host, datagram_sender(), [this] { return members(); },
         [this] { return !context.state.stopping; },
@@ -183,7 +183,7 @@
         }};
 }
 
-crashes::watch_ports instance::impl::crash_functions() {
+crashes::crash_watch_callbacks instance::impl::crash_functions() {
     return {
         settings.peer.host,
         datagram_sender(),
--- a/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/messages.hpp
+++ b/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/messages.hpp
@@ -22,13 +22,14 @@
     std::uint64_t number = 0; ///< The answer repeats it.
     std::string data_centre;  ///< Of the domain; empty: all.
     policy::placement_query query;
-    bool wants_servers = false; ///< The sender holds no rows of servers.
+    bool wants_server_rows = false; ///< The sender holds no rows of servers.
 };
 
 /// The answer to it.
 struct placement_answer {
     std::uint64_t number = 0;
-    bool known = false; ///< Whether the scheduler knows the service at all.
+    bool knows_service =
+        false; ///< Whether the scheduler knows the service at all.
     policy::placement placed;
     /// What is known of the servers that are named, where it was asked for.
     std::vector<traffic::versioned_server> servers;
--- a/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/remote_placer.hpp
+++ b/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/remote_placer.hpp
@@ -17,15 +17,16 @@
 /// Times of a placer.
 struct placer_options {
     /// How long a scheduler has for its answer.
-    base::milliseconds patience{30};
+    base::milliseconds answer_timeout{30};
     /// How long a scheduler that has not answered is passed over.
-    base::milliseconds suspicion{800};
-    base::milliseconds min_gap{60};  ///< Between reports of loads.
-    base::milliseconds max_gap{500}; ///< The same while there is load.
+    base::milliseconds suspect_time{800};
+    base::milliseconds min_report_interval{60}; ///< Between reports of loads.
+    base::milliseconds max_report_interval{
+        500}; ///< The same while there is load.
 };
 
 /// How the placer reaches other instances.
-struct placer_ports {
+struct placer_callbacks {
     std::string own_host;
     /// Sends a datagram to the instance on that host.
     std::function<void(const std::string& host, const std::string& datagram)>
@@ -53,7 +54,7 @@
 public:
     /// The router must outlive the placer.
     remote_placer(
-        relay::router_context& context, placer_ports ports,
+        relay::router_context& context, placer_callbacks ports,
         placer_options options = {});
     ~remote_placer() override;
     remote_placer(const remote_placer&) = delete;
--- a/libs/mintknotd-platform/scheduling/src/load_reporter.cpp
+++ b/libs/mintknotd-platform/scheduling/src/load_reporter.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 /// Finds the schedulers of servers; the hosts are hashed once a domain.
-class domain_hosts {
+class scheduler_cache {
 public:
-    domain_hosts(
+    scheduler_cache(
         const relay::router_context& context,
         const scheduler_directory& directory)
         : context_(context)
@@ -23,67 +23,70 @@
         const traffic::server* server =
             traffic::find(context_.state.servers, server_id);
         if (server == nullptr)
-            return nobody_;
+            return no_schedulers_;
         const policy::domain which =
             policy::domain_of(context_.state.servers, *server);
-        for (const auto& [known, hosts] : found_)
+        for (const auto& [known, hosts] : by_domain_)
             if (known == which)
                 return hosts;
-        return found_.emplace_back(which, directory_.find_both(which)).second;
+        return by_domain_
+            .emplace_back(which, directory_.find_with_standby(which))
+            .second;
     }
 
 private:
     const relay::router_context& context_;
     const scheduler_directory& directory_;
-    policy::domain_schedulers nobody_;
+    policy::domain_schedulers no_schedulers_;
     /// Few; references into it stay valid.
     mutable std::deque<std::pair<policy::domain, policy::domain_schedulers>>
-        found_;
+        by_domain_;
 };
 
 } // namespace
 
 load_reporter::load_reporter(
-    relay::router_context& context, const placer_ports& ports,
+    relay::router_context& context, const placer_callbacks& callbacks,
     const scheduler_directory& directory, const placer_options& options)
     : context_(context)
-    , ports_(ports)
+    , callbacks_(callbacks)
     , directory_(directory)
     , options_(options)
     , timer_(context.loop) {}
 
 void load_reporter::loads_changed() {
     const base::steady_time now = context_.loop.now();
-    if (due_ <= now + options_.min_gap && timer_.active())
+    if (next_send_at_ <= now + options_.min_report_interval && timer_.active())
         return;
-    plan(std::max(now, sent_ + options_.min_gap));
+    schedule_send(std::max(now, last_sent_at_ + options_.min_report_interval));
 }
 
 void load_reporter::loads_added() {
     if (!timer_.active())
-        plan(context_.loop.now() + options_.max_gap);
+        schedule_send(context_.loop.now() + options_.max_report_interval);
 }
 
 void load_reporter::placed_by(const std::string& host) {
     reported_[host] = true;
 }
 
-void load_reporter::correct(const std::string& host) {
+void load_reporter::schedule_correction(const std::string& host) {
     reported_[host] = true;
     loads_changed();
 }
 
-void load_reporter::plan(base::steady_time when) {
-    due_ = when;
+void load_reporter::schedule_send(base::steady_time when) {
+    next_send_at_ = when;
     timer_.start(when, [this] { send(); });
 }
 
 void load_reporter::send() {
-    sent_ = context_.loop.now();
-    const bool standbys_due = sent_ - standbys_told_ >= options_.max_gap;
+    last_sent_at_ = context_.loop.now();
+    const bool standbys_due =
+        last_sent_at_ - standbys_last_sent_at_ >= options_.max_report_interval;
     if (standbys_due)
-        standbys_told_ = sent_;
-    outgoing_map reports = collect();
+        standbys_last_sent_at_ = last_sent_at_;
+    pending_report_map reports = collect();
     add_results(reports);
     add_observations(reports);
     reported_.clear();
@@ -91,24 +94,24 @@
         if (!entry.report.loads.empty())
             reported_[host] = entry.urgent;
         if (entry.urgent || standbys_due)
-            ports_.send(host, encode(entry.report));
+            callbacks_.send(host, encode(entry.report));
     }
     if (!reported_.empty())
-        plan(sent_ + options_.max_gap);
+        schedule_send(last_sent_at_ + options_.max_report_interval);
 }
 
-load_reporter::outgoing_map load_reporter::collect() {
-    outgoing_map reports;
+load_reporter::pending_report_map load_reporter::collect() {
+    pending_report_map reports;
     // Whoever knows of loads from here learns when there are none left.
     for (const auto& [host, urgent] : reported_)
         reports[host].urgent = urgent;
-    const domain_hosts hosts(context_, directory_);
+    const scheduler_cache hosts(context_, directory_);
     for (const auto& [id, load] : context_.state.loads.own) {
         const policy::domain_schedulers& found = hosts.of(id);
         for (const std::string* host : {&found.active, &found.standby}) {
-            if (host->empty() || *host == ports_.own_host)
+            if (host->empty() || *host == callbacks_.own_host)
                 continue;
-            outgoing& entry = reports[*host];
+            pending_report& entry = reports[*host];
             entry.report.loads[id] = load;
             entry.urgent = entry.urgent || host == &found.active;
         }
@@ -116,26 +119,26 @@
     return reports;
 }
 
-void load_reporter::add_results(outgoing_map& reports) {
-    const domain_hosts hosts(context_, directory_);
+void load_reporter::add_results(pending_report_map& reports) {
+    const scheduler_cache hosts(context_, directory_);
     for (const auto& [id, counts] :
          policy::take_untold(context_.state.health)) {
         const std::string& host = hosts.of(id).active;
-        if (host.empty() || host == ports_.own_host)
+        if (host.empty() || host == callbacks_.own_host)
             continue;
         reports[host].report.results[id] = counts;
         reports[host].urgent = true;
     }
 }
 
-void load_reporter::add_observations(outgoing_map& reports) {
-    const std::vector<policy::server_warning> avoided =
-        policy::own_warnings(context_.state.health, sent_);
+void load_reporter::add_observations(pending_report_map& reports) {
+    const std::vector<policy::server_warning> warnings =
+        policy::own_warnings(context_.state.health, last_sent_at_);
     // The schedulers of servers that are avoided here are to know it, too.
-    const domain_hosts hosts(context_, directory_);
-    for (const policy::server_warning& warning : avoided) {
+    const scheduler_cache hosts(context_, directory_);
+    for (const policy::server_warning& warning : warnings) {
         const std::string& host = hosts.of(warning.server_id).active;
-        if (!host.empty() && host != ports_.own_host)
+        if (!host.empty() && host != callbacks_.own_host)
             reports[host].urgent = true;
     }
     if (reports.empty())
@@ -145,7 +148,7 @@
         rates.push_back({id, policy::rate_of(context_.state.rates, id)});
     context_.state.rates.fresh.clear();
     for (auto& [host, entry] : reports) {
-        entry.report.avoided = avoided;
+        entry.report.avoided = warnings;
         entry.report.rates = rates;
     }
 }
--- a/libs/mintknotd-platform/scheduling/src/load_reporter.hpp
+++ b/libs/mintknotd-platform/scheduling/src/load_reporter.hpp
@@ -26,7 +26,7 @@
 class load_reporter {
 public:
     load_reporter(
-        relay::router_context& context, const placer_ports& ports,
+        relay::router_context& context, const placer_callbacks& callbacks,
         const scheduler_directory& directory, const placer_options& options);
 
     /// Own loads have shrunk, or health has changed.
@@ -37,34 +37,34 @@
     void placed_by(const std::string& host);
     /// The host counts a request that nobody sends: the next report corrects
     /// it.
-    void correct(const std::string& host);
+    void schedule_correction(const std::string& host);
 
 private:
     /// What one host is to be told.
-    struct outgoing {
+    struct pending_report {
         load_report report;
         bool urgent = false; ///< It schedules now.
     };
-    using outgoing_map = std::map<std::string, outgoing>;
+    using pending_report_map = std::map<std::string, pending_report>;
 
-    void plan(base::steady_time when);
+    void schedule_send(base::steady_time when);
     void send();
     /// @return own loads, by the hosts that are to know them.
-    outgoing_map collect();
+    pending_report_map collect();
     /// Adds how calls have ended, for those that schedule the servers.
-    void add_results(outgoing_map& reports);
+    void add_results(pending_report_map& reports);
     /// Adds what is avoided here and how fast engines were seen to read.
-    void add_observations(outgoing_map& reports);
+    void add_observations(pending_report_map& reports);
 
     relay::router_context& context_;
-    const placer_ports& ports_;
+    const placer_callbacks& callbacks_;
     const scheduler_directory& directory_;
     placer_options options_;
     /// Hosts that know of loads from here, and whether they schedule.
     std::map<std::string, bool> reported_;
-    base::steady_time sent_{};
-    base::steady_time standbys_told_{};
-    base::steady_time due_{};
+    base::steady_time last_sent_at_{};
+    base::steady_time standbys_last_sent_at_{};
+    base::steady_time next_send_at_{};
     event::timer timer_;
 };
 
--- a/libs/mintknotd-platform/scheduling/src/messages.cpp
+++ b/libs/mintknotd-platform/scheduling/src/messages.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t results_element = 4;
 /// Elements of newer senders: of a request whose sender holds no rows, or has
 /// open connections, and of the answer to it.
-constexpr std::size_t wants_servers_element = 12;
+constexpr std::size_t wants_server_rows_element = 12;
 constexpr std::size_t connected_element = 13;
 constexpr std::size_t servers_element = 10;
 /// Rates are told in thousandths.
@@ -61,8 +61,8 @@
         to_json(query.excluded),
         to_json(query.excluded_prefill),
         query.data_centre};
-    if (value.wants_servers || !query.connected.empty())
-        row.push_back(value.wants_servers);
+    if (value.wants_server_rows || !query.connected.empty())
+        row.push_back(value.wants_server_rows);
     if (!query.connected.empty())
         row.push_back(to_json(query.connected));
     return row;
@@ -85,8 +85,8 @@
     value.query.excluded = servers_from(row.at(9));
     value.query.excluded_prefill = servers_from(row.at(10));
     value.query.data_centre = row.at(11).get<std::string>();
-    if (row.size() > wants_servers_element)
-        value.wants_servers = row[wants_servers_element].get<bool>();
+    if (row.size() > wants_server_rows_element)
+        value.wants_server_rows = row[wants_server_rows_element].get<bool>();
     if (row.size() > connected_element)
         value.query.connected = servers_from(row[connected_element]);
     return value;
@@ -138,7 +138,7 @@
     json row = {
         answer_format,
         value.number,
-        value.known,
+        value.knows_service,
         value.placed.server,
         value.placed.prefill,
         whole(value.placed.tokens_ahead),
@@ -158,7 +158,7 @@
 placement_answer answer_from(const json& row) {
     placement_answer value;
     value.number = row.at(1).get<std::uint64_t>();
-    value.known = row.at(2).get<bool>();
+    value.knows_service = row.at(2).get<bool>();
     value.placed.server = row.at(3).get<std::string>();
     value.placed.prefill = row.at(4).get<std::string>();
     value.placed.tokens_ahead = number(row.at(5));
--- a/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
@@ -15,47 +15,47 @@
 namespace {
 
 /// Schedulers of one domain that are asked before the choice is made here: each
-/// silent one costs placer_options::patience.
+/// silent one costs placer_options::answer_timeout.
 constexpr int max_tries = 2;
 /// The same where none can be made here.
 constexpr int max_tries_without_rows = 4;
 
 /// A request that waits for its servers.
-struct question {
-    explicit question(event::loop& owner)
-        : patience(owner) {}
+struct pending_placement {
+    explicit pending_placement(event::loop& owner)
+        : answer_timer(owner) {}
     policy::placement_query query;
     relay::placement_handler then;
     std::vector<policy::domain>
-        left;                  ///< Domains to be asked, the next one first.
-    policy::room_summary seen; ///< In the domains that had no room.
-    std::string asked;         ///< The scheduler that is to answer.
-    int tries = 0;             ///< Within the domain at hand.
-    event::timer patience;
+        remaining_domains; ///< Domains to be asked, the next one first.
+    policy::room_summary room_seen; ///< In the domains that had no room.
+    std::string asked_host;         ///< The scheduler that is to answer.
+    int tries = 0;                  ///< Within the domain at hand.
+    event::timer answer_timer;
 };
 
 } // namespace
 
 struct remote_placer::impl {
     impl(
-        relay::router_context& shared, placer_ports outside,
+        relay::router_context& shared, placer_callbacks outside,
         placer_options settings)
         : context(shared)
-        , ports(std::move(outside))
+        , callbacks(std::move(outside))
         , options(settings)
-        , directory(shared, ports, settings.suspicion)
-        , reporter(shared, ports, directory, settings) {}
+        , directory(shared, callbacks, settings.suspect_time)
+        , reporter(shared, callbacks, directory, settings) {}
 
     base::steady_time now() const { return context.loop.now(); }
 
     std::uint64_t
     begin(policy::placement_query query, relay::placement_handler then) {
         const std::uint64_t number = ++last_number;
-        auto entry = std::make_unique<question>(context.loop);
-        entry->left = policy::domains_of(
+        auto entry = std::make_unique<pending_placement>(context.loop);
+        entry->remaining_domains = policy::domains_of(
             context.state.servers, query.service, context.options.data_centre);
         if (query.kind == policy::placement_kind::plain &&
-            entry->left.size() > 1)
+            entry->remaining_domains.size() > 1)
             query.kind = policy::placement_kind::plain_with_room;
         policy::exclude_avoided(
             query, context.state.servers, context.state.health, now());
@@ -64,42 +64,47 @@
         query.data_centre = context.options.data_centre;
         entry->query = std::move(query);
         entry->then = std::move(then);
-        questions.emplace(number, std::move(entry));
+        pending.emplace(number, std::move(entry));
         // The contract: the answer never comes from within ask().
-        context.loop.post([this, number, alive = std::weak_ptr<bool>(life)] {
-            if (!alive.expired())
-                ask_next(number);
-        });
+        context.loop.post(
+            [this, number, alive = std::weak_ptr<bool>(alive_token)] {
+                if (!alive.expired())
+                    ask_next(number);
+            });
         return number;
     }
 
     void ask_next(std::uint64_t number) {
-        const auto found = questions.find(number);
-        if (found == questions.end())
+        const auto found = pending.find(number);
+        if (found == pending.end())
             return;
-        question& entry = *found->second;
-        if (entry.left.empty()) {
+        pending_placement& entry = *found->second;
+        if (entry.remaining_domains.empty()) {
             policy::placement placed = place_anywhere(entry.query);
-            placed.room = entry.seen;
+            placed.room = entry.room_seen;
             finish(number, placed);
             return;
         }
-        const std::string host = directory.find(entry.left.front());
-        if (host.empty() || host == ports.own_host ||
+        const std::string host =
+            directory.find(entry.remaining_domains.front());
+        if (host.empty() || host == callbacks.own_host ||
             entry.tries >= tries_allowed()) {
-            const bool exact = host == ports.own_host;
-            take(number, decide(entry.query, entry.left.front(), exact));
-            if (!exact)
+            const bool is_scheduler = host == callbacks.own_host;
+            apply_placement(
+                number, place_in_domain(
+                            entry.query, entry.remaining_domains.front(),
+                            is_scheduler));
+            if (!is_scheduler)
                 reporter.loads_changed();
             return;
         }
         ++entry.tries;
-        entry.asked = host;
-        ports.send(host, encode(request_for(number, entry)));
+        entry.asked_host = host;
+        callbacks.send(host, encode(request_for(number, entry)));
         policy::note_asked(paces, host, now());
-        const base::milliseconds patience =
-            policy::patience_for(paces, host, options.patience);
-        entry.patience.start(patience, [this, number, host] {
+        const base::milliseconds timeout =
+            policy::patience_for(paces, host, options.answer_timeout);
+        entry.answer_timer.start(timeout, [this, number, host] {
             directory.suspect(host);
             // What it had been told must be told to the next one.
             reporter.loads_changed();
@@ -114,39 +119,42 @@
     }
 
     placement_request
-    request_for(std::uint64_t number, const question& entry) const {
+    request_for(std::uint64_t number, const pending_placement& entry) const {
         placement_request request{
-            number, entry.left.front().data_centre, entry.query, !holds_rows()};
+            number, entry.remaining_domains.front().data_centre, entry.query,
+            !holds_rows()};
         // Plain servers queue: where no data centre has room one takes it
         // still.
-        const bool last_chance = !holds_rows() && entry.left.size() == 1;
-        if (last_chance &&
+        const bool last_domain =
+            !holds_rows() && entry.remaining_domains.size() == 1;
+        if (last_domain &&
             request.query.kind == policy::placement_kind::plain_with_room)
             request.query.kind = policy::placement_kind::plain;
         return request;
     }
 
     /// Takes what the domain at hand has to offer, or asks the next one.
-    void take(std::uint64_t number, const policy::placement& placed) {
-        question& entry = *questions.at(number);
+    void
+    apply_placement(std::uint64_t number, const policy::placement& placed) {
+        pending_placement& entry = *pending.at(number);
         if (!placed.server.empty()) {
             finish(number, placed);
             return;
         }
-        entry.seen.engines += placed.room.engines;
-        entry.seen.avoided += placed.room.avoided;
-        entry.seen.max_room =
-            std::max(entry.seen.max_room, placed.room.max_room);
-        entry.seen.forecast =
-            policy::joined(entry.seen.forecast, placed.room.forecast);
-        entry.left.erase(entry.left.begin());
+        entry.room_seen.engines += placed.room.engines;
+        entry.room_seen.avoided += placed.room.avoided;
+        entry.room_seen.max_room =
+            std::max(entry.room_seen.max_room, placed.room.max_room);
+        entry.room_seen.forecast =
+            policy::joined(entry.room_seen.forecast, placed.room.forecast);
+        entry.remaining_domains.erase(entry.remaining_domains.begin());
         entry.tries = 0;
         ask_next(number);
     }
 
     void finish(std::uint64_t number, const policy::placement& placed) {
-        auto node = questions.extract(number);
-        node.mapped()->patience.stop();
+        auto node = pending.extract(number);
+        node.mapped()->answer_timer.stop();
         const relay::placement_handler then = std::move(node.mapped()->then);
         then(placed);
     }
@@ -157,14 +165,14 @@
             return {};
         policy::placement_query anywhere = query;
         anywhere.kind = policy::placement_kind::plain;
-        return decide(anywhere, {query.service, {}}, false);
+        return place_in_domain(anywhere, {query.service, {}}, false);
     }
 
-    /// @param exact whether this instance schedules the domain, and so knows
-    /// what is in flight there.
-    policy::placement decide(
+    /// @param is_scheduler whether this instance schedules the domain, and so
+    /// knows what is in flight there.
+    policy::placement place_in_domain(
         const policy::placement_query& query, const policy::domain& which,
-        bool exact) const {
+        bool is_scheduler) const {
         const traffic::service* service = service_of(query.service);
         if (service == nullptr)
             return {};
@@ -172,7 +180,7 @@
             relay::selection_for(context, *service);
         inputs.only_data_centre = which.data_centre;
         inputs.own_data_centre = query.data_centre;
-        inputs.all_loads_known = exact;
+        inputs.all_loads_known = is_scheduler;
         inputs.connected = &query.connected;
         policy::placement placed = policy::choose(inputs, query);
         policy::charge_placement(
@@ -192,21 +200,22 @@
     void on_message(const std::string& host, const placement_request& request) {
         placement_answer answer;
         answer.number = request.number;
-        answer.known = service_of(request.query.service) != nullptr &&
-                       (!ports.knows_servers || ports.knows_servers());
-        answer.placed = decide(
+        answer.knows_service =
+            service_of(request.query.service) != nullptr &&
+            (!callbacks.knows_servers || callbacks.knows_servers());
+        answer.placed = place_in_domain(
             request.query, {request.query.service, request.data_centre}, true);
-        if (request.wants_servers)
+        if (request.wants_server_rows)
             for (const std::string* id :
                  {&answer.placed.server, &answer.placed.prefill})
-                add_known(answer.servers, *id);
+                add_server_row(answer.servers, *id);
         traffic::add_to_peer(
             context.state.loads, host,
             policy::placed_loads(answer.placed, request.query), now());
-        ports.send(host, encode(answer));
+        callbacks.send(host, encode(answer));
     }
 
-    void add_known(
+    void add_server_row(
         std::vector<traffic::versioned_server>& servers,
         const std::string& id) const {
         const auto found = context.state.servers.by_id.find(id);
@@ -216,20 +225,20 @@
 
     void on_message(const std::string& host, const placement_answer& answer) {
         policy::note_answered(paces, host, now());
-        const auto found = questions.find(answer.number);
-        if (found == questions.end() || found->second->asked != host) {
-            reporter.correct(host);
+        const auto found = pending.find(answer.number);
+        if (found == pending.end() || found->second->asked_host != host) {
+            reporter.schedule_correction(host);
             return;
         }
-        found->second->patience.stop();
+        found->second->answer_timer.stop();
         for (const traffic::versioned_server& named : answer.servers)
             traffic::note_named(context.state.servers, named);
-        if (answer.known) {
+        if (answer.knows_service) {
             policy::placement placed = answer.placed;
             placed.by = host;
             if (!placed.server.empty())
                 reporter.placed_by(host);
-            take(answer.number, placed);
+            apply_placement(answer.number, placed);
             return;
         }
         if (holds_rows())
@@ -251,24 +260,25 @@
     }
 
     relay::router_context& context;
-    placer_ports ports;
+    placer_callbacks callbacks;
     placer_options options;
     std::uint64_t last_number = 0;
-    std::map<std::uint64_t, std::unique_ptr<question>> questions;
+    std::map<std::uint64_t, std::unique_ptr<pending_placement>> pending;
     policy::answer_paces paces;
     scheduler_directory directory;
     load_reporter reporter;
-    std::shared_ptr<bool> life = std::make_shared<bool>(true);
+    std::shared_ptr<bool> alive_token = std::make_shared<bool>(true);
 };
 
 remote_placer::remote_placer(
-    relay::router_context& context, placer_ports ports, placer_options options)
-    : impl_(std::make_unique<impl>(context, std::move(ports), options)) {}
+    relay::router_context& context, placer_callbacks callbacks,
+    placer_options options)
+    : impl_(std::make_unique<impl>(context, std::move(callbacks), options)) {}
 
 remote_placer::~remote_placer() = default;
 
 bool remote_placer::active() const {
-    return impl_->ports.active();
+    return impl_->callbacks.active();
 }
 
 std::unique_ptr<relay::placement_ticket> remote_placer::ask(
@@ -276,7 +286,7 @@
     const std::uint64_t number =
         impl_->begin(std::move(query), std::move(then));
     return std::make_unique<relay::withdrawing_ticket>(
-        impl_->life, [this, number] { impl_->questions.erase(number); });
+        impl_->alive_token, [this, number] { impl_->pending.erase(number); });
 }
 
 void remote_placer::loads_changed() {
--- a/libs/mintknotd-platform/scheduling/src/scheduler_directory.hpp
+++ b/libs/mintknotd-platform/scheduling/src/scheduler_directory.hpp
@@ -18,13 +18,14 @@
 class scheduler_directory {
 public:
     scheduler_directory(
-        relay::router_context& context, const placer_ports& ports,
-        base::milliseconds suspicion);
+        relay::router_context& context, const placer_callbacks& callbacks,
+        base::milliseconds suspect_time);
 
     /// @return the scheduler of a domain; empty if there is none.
     std::string find(const policy::domain& which) const;
     /// @return the same, and who would be next.
-    policy::domain_schedulers find_both(const policy::domain& which) const;
+    policy::domain_schedulers
+    find_with_standby(const policy::domain& which) const;
     /// The host has not answered in time.
     void suspect(const std::string& host);
 
@@ -33,9 +34,9 @@
     std::vector<std::string> trusted_hosts(const policy::domain& which) const;
 
     relay::router_context& context_;
-    const placer_ports& ports_;
-    base::milliseconds suspicion_;
-    std::map<std::string, base::steady_time> suspected_; ///< Until when.
+    const placer_callbacks& callbacks_;
+    base::milliseconds suspect_time_;
+    std::map<std::string, base::steady_time> suspects_; ///< Until when.
 };
 
 } // namespace mintknot::scheduling
--- a/libs/mintknotd-platform/scheduling/tests/test_messages.cpp
+++ b/libs/mintknotd-platform/scheduling/tests/test_messages.cpp
@@ -5,7 +5,7 @@
 using namespace mintknot;
 using namespace mintknot::scheduling;
 
-Test(scheduling_messages, a_request_comes_back_whole) {
+Test(scheduling_messages, request_round_trip) {
     placement_request sent;
     sent.number = 7;
     sent.data_centre = "a";
@@ -33,13 +33,13 @@
     cr_assert(got.query.data_centre == "a");
 }
 
-Test(scheduling_messages, an_answer_comes_back_whole) {
+Test(scheduling_messages, answer_round_trip) {
     placement_answer sent{9, true, {"d", "p", 500.0}};
     sent.placed.room = {12, 3, 6400.0, {base::milliseconds(120), 48.5}};
     const auto value = decode(encode(sent));
     cr_assert(value.ok());
     const auto& got = std::get<placement_answer>(*value);
-    cr_assert(got.number == 9 && got.known);
+    cr_assert(got.number == 9 && got.knows_service);
     cr_assert(got.placed.server == "d" && got.placed.prefill == "p");
     cr_assert(got.placed.tokens_ahead == 500.0);
     cr_assert(got.placed.room.engines == 12);
@@ -54,7 +54,7 @@
         !std::get<placement_answer>(*unforeseen).placed.room.forecast.wait);
 }
 
-Test(scheduling_messages, a_report_comes_back_whole) {
+Test(scheduling_messages, report_round_trip) {
     load_report sent;
     sent.loads["d"] = {2, 0.0, 6000.0};
     sent.avoided = {{"x", base::milliseconds(1500)}};
@@ -69,7 +69,7 @@
     cr_assert(got.rates.at(0).rate == 33.25);
 }
 
-Test(scheduling_messages, malformed_datagrams_are_errors) {
+Test(scheduling_messages, malformed_datagrams_are_rejected) {
     cr_assert(!decode("").ok());
     cr_assert(!decode("text").ok());
     const std::string whole =
@@ -83,7 +83,7 @@
     cr_assert(!decode(unknown).ok());
 }
 
-Test(scheduling_messages, results_of_calls_come_back_whole) {
+Test(scheduling_messages, call_results_round_trip) {
     load_report sent;
     sent.results["d"] = {7, 2, 3};
     const auto value = decode(encode(sent));
@@ -96,11 +96,11 @@
     cr_assert(!decode(encode(sent)).ok());
 }
 
-Test(scheduling_messages, servers_are_named_to_those_who_hold_no_rows) {
+Test(scheduling_messages, server_rows_round_trip) {
     placement_request asked;
-    asked.wants_servers = true;
+    asked.wants_server_rows = true;
     const auto request = decode(encode(asked));
-    cr_assert(std::get<placement_request>(*request).wants_servers);
+    cr_assert(std::get<placement_request>(*request).wants_server_rows);
     placement_answer sent{9, true, {"d", "", 0.0}};
     traffic::server engine;
     engine.id = "d";
--- a/libs/mintknotd-platform/scheduling/tests/test_remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/tests/test_remote_placer.cpp
@@ -23,8 +23,8 @@
 };
 
 /// One placer whose datagrams are kept, among hosts of the test's choice.
-struct bench {
-    explicit bench(std::vector<std::string> all_hosts)
+struct placer_fixture {
+    explicit placer_fixture(std::vector<std::string> all_hosts)
         : hosts(std::move(all_hosts))
         , placer(
               f.context,
@@ -69,7 +69,7 @@
         request.query.memory_tokens = memory_tokens;
         placer.receive("asker", encode(request));
         const auto answer = std::get<placement_answer>(sent.back().value);
-        cr_assert(sent.back().host == "asker" && answer.known);
+        cr_assert(sent.back().host == "asker" && answer.knows_service);
         return answer.placed;
     }
 
@@ -89,8 +89,8 @@
 
 } // namespace
 
-Test(remote_placer, the_scheduler_is_asked_and_its_answer_taken) {
-    bench b({"x"});
+Test(remote_placer, answer_of_scheduler_is_used) {
+    placer_fixture b({"x"});
     b.add_engine("d", decode_phase);
     const auto ticket = b.ask();
     cr_assert(!b.got);
@@ -102,8 +102,8 @@
     cr_assert(b.got && b.got->server == "d");
 }
 
-Test(remote_placer, the_own_domain_is_placed_without_a_message) {
-    bench b({"own"});
+Test(remote_placer, own_domain_is_placed_without_messages) {
+    placer_fixture b({"own"});
     b.add_engine("d", decode_phase);
     const auto ticket = b.ask();
     b.f.run_until([&] { return b.got.has_value(); });
@@ -111,8 +111,8 @@
     cr_assert(b.sent.empty());
 }
 
-Test(remote_placer, a_silent_scheduler_is_passed_over_then_nobody_waits) {
-    bench b({"x", "y", "z"});
+Test(remote_placer, silent_schedulers_are_skipped) {
+    placer_fixture b({"x", "y", "z"});
     b.add_engine("d", decode_phase);
     auto ticket = b.ask();
     b.f.run_until([&] { return b.got.has_value(); });
@@ -127,8 +127,8 @@
     cr_assert(b.sent[2].host != b.sent[1].host);
 }
 
-Test(remote_placer, a_withdrawn_question_gets_no_answer) {
-    bench b({"x"});
+Test(remote_placer, cancelled_request_gets_no_answer) {
+    placer_fixture b({"x"});
     b.add_engine("d", decode_phase);
     auto ticket = b.ask();
     b.f.run_until([&] { return !b.sent.empty(); });
@@ -143,8 +143,8 @@
     cr_assert(std::get<load_report>(b.sent[1].value).loads.empty());
 }
 
-Test(remote_placer, a_scheduler_knows_what_it_has_placed) {
-    bench b({"own"});
+Test(remote_placer, scheduler_counts_its_own_placements) {
+    placer_fixture b({"own"});
     b.add_engine("d1", decode_phase);
     b.add_engine("d2", decode_phase);
     const auto first = b.answer_to(6000.0);
@@ -159,8 +159,8 @@
     cr_assert(b.answer_to(6000.0).server == second.server);
 }
 
-Test(remote_placer, a_scheduler_prefers_the_data_centre_of_the_asker) {
-    bench b({"own"});
+Test(remote_placer, scheduler_prefers_data_centre_of_requester) {
+    placer_fixture b({"own"});
     b.f.context.options.data_centre = "a";
     b.add_engine("near", decode_phase, "a");
     b.add_engine("far", decode_phase, "b");
@@ -168,8 +168,8 @@
     cr_assert(b.answer_to(100.0, "a").server == "near");
 }
 
-Test(remote_placer, a_full_data_centre_leads_to_the_next) {
-    bench b({"x"});
+Test(remote_placer, full_data_centre_falls_back_to_next) {
+    placer_fixture b({"x"});
     b.f.context.options.data_centre = "a";
     for (int i = 0; i < 13; ++i) {
         b.add_engine(fmt::format("a{}", i), decode_phase, "a");
@@ -187,8 +187,8 @@
     cr_assert(b.got && b.got->server.empty(), "no room anywhere");
 }
 
-Test(remote_placer, servers_avoided_here_are_ruled_out) {
-    bench b({"x"});
+Test(remote_placer, locally_avoided_servers_are_excluded) {
+    placer_fixture b({"x"});
     for (const char* id : {"d1", "d2", "d3"})
         b.add_engine(id, decode_phase);
     policy::note(
@@ -203,7 +203,7 @@
 namespace {
 
 /// Hosts that got a report of loads, one for each report.
-std::vector<std::string> reported_to(const bench& b) {
+std::vector<std::string> reported_to(const placer_fixture& b) {
     std::vector<std::string> hosts;
     for (const sent_message& message : b.sent)
         if (std::holds_alternative<load_report>(message.value))
@@ -213,8 +213,8 @@
 
 } // namespace
 
-Test(remote_placer, the_standby_of_a_scheduler_is_told_more_rarely) {
-    bench b({"x", "y", "z"});
+Test(remote_placer, standby_gets_reports_less_often) {
+    placer_fixture b({"x", "y", "z"});
     b.add_engine("d", decode_phase);
     b.f.context.state.on_load_change = [&] { b.placer.loads_changed(); };
     relay::add_load(b.f.context, "d", {2, 0.0, 200.0});
@@ -238,11 +238,11 @@
     cr_assert(last.loads.at("d").calls == 2);
 }
 
-Test(remote_placer, whoever_takes_over_knows_what_is_in_flight) {
-    bench asker({"x", "y"});
+Test(remote_placer, standby_knows_load_in_flight) {
+    placer_fixture asker({"x", "y"});
     const auto both = policy::schedulers_of({"llm", ""}, asker.hosts);
-    bench standby({"own"});
-    for (bench* each : {&asker, &standby}) {
+    placer_fixture standby({"own"});
+    for (placer_fixture* each : {&asker, &standby}) {
         each->add_engine("d1", decode_phase);
         each->add_engine("d2", decode_phase);
     }
@@ -256,8 +256,8 @@
     cr_assert(standby.answer_to(6000.0).server.empty(), "both are full");
 }
 
-Test(remote_placer, what_a_scheduler_has_placed_is_not_reported_at_once) {
-    bench b({"x"});
+Test(remote_placer, scheduler_placement_is_not_reported_at_once) {
+    placer_fixture b({"x"});
     b.add_engine("d", decode_phase);
     b.f.context.state.on_load_change = [&] { b.placer.loads_changed(); };
     b.f.context.state.on_load_added = [&] { b.placer.loads_added(); };
@@ -275,8 +275,8 @@
     cr_assert(std::get<load_report>(b.sent[1].value).loads.empty());
 }
 
-Test(remote_placer, what_was_placed_here_is_reported_at_once) {
-    bench b({"x", "y", "z"});
+Test(remote_placer, local_placement_is_reported_promptly) {
+    placer_fixture b({"x", "y", "z"});
     b.add_engine("d", decode_phase);
     b.f.context.state.on_load_added = [&] { b.placer.loads_added(); };
     const auto ticket = b.ask();
@@ -291,7 +291,8 @@
 namespace {
 
 /// @return an answer that names an engine, as one who holds rows gives it.
-std::string naming(const sent_message& asked, const std::string& id) {
+std::string
+answer_with_server(const sent_message& asked, const std::string& id) {
     placement_answer answer{number_of(asked), true, {id, "", 0}};
     traffic::server engine;
     engine.id = id;
@@ -304,22 +305,22 @@
 
 } // namespace
 
-Test(remote_placer, without_rows_the_answer_names_the_server) {
-    bench b({"x"});
+Test(remote_placer, without_rows_answer_provides_server) {
+    placer_fixture b({"x"});
     traffic::become_partial(b.f.context.state.servers);
     const auto ticket = b.ask();
     b.f.run_until([&] { return !b.sent.empty(); });
     const auto& asked = std::get<placement_request>(b.sent[0].value);
-    cr_assert(asked.wants_servers);
+    cr_assert(asked.wants_server_rows);
     cr_assert(asked.data_centre == b.f.context.options.data_centre);
-    b.placer.receive("x", naming(b.sent[0], "d"));
+    b.placer.receive("x", answer_with_server(b.sent[0], "d"));
     cr_assert(b.got && b.got->server == "d");
     cr_assert(traffic::find(b.f.context.state.servers, "d") != nullptr);
     cr_assert(traffic::open_servers(b.f.context.state.servers, "llm").empty());
 }
 
-Test(remote_placer, without_rows_others_are_asked_where_one_knows_none) {
-    bench b({"x", "y"});
+Test(remote_placer, without_rows_next_scheduler_is_asked) {
+    placer_fixture b({"x", "y"});
     traffic::become_partial(b.f.context.state.servers);
     const auto ticket = b.ask();
     b.f.run_until([&] { return !b.sent.empty(); });
@@ -328,12 +329,12 @@
     b.placer.receive(b.sent[0].host, encode(unknown));
     b.f.run_until([&] { return b.sent.size() > 1; });
     cr_assert(b.sent[1].host != b.sent[0].host);
-    b.placer.receive(b.sent[1].host, naming(b.sent[1], "d"));
+    b.placer.receive(b.sent[1].host, answer_with_server(b.sent[1], "d"));
     cr_assert(b.got && b.got->server == "d");
 }
 
-Test(remote_placer, without_rows_a_full_data_centre_leads_to_all) {
-    bench b({"x"});
+Test(remote_placer, without_rows_full_data_centre_falls_back_to_all) {
+    placer_fixture b({"x"});
     traffic::become_partial(b.f.context.state.servers);
     const auto ticket = b.ask();
     b.f.run_until([&] { return !b.sent.empty(); });
@@ -344,12 +345,12 @@
     cr_assert(second.data_centre.empty());
 }
 
-Test(remote_placer, who_holds_no_rows_is_told_of_the_servers) {
-    bench b({"own"});
+Test(remote_placer, answer_includes_rows_when_requested) {
+    placer_fixture b({"own"});
     b.add_engine("d", decode_phase);
     placement_request request;
     request.number = 1;
-    request.wants_servers = true;
+    request.wants_server_rows = true;
     request.query.service = "llm";
     request.query.kind = policy::placement_kind::decode;
     b.placer.receive("leaf", encode(request));
