--- a/libs/mintknotd-platform/crashes/include/mintknot/crashes/crash_watch.hpp
+++ b/libs/mintknotd-platform/crashes/include/mintknot/crashes/crash_watch.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Keeps requests that crash servers away from the others, over all instances.
+/// Detects requests that crash servers and blocks them on all instances.
 #ifndef MINTKNOT_CRASHES_CRASH_WATCH_HPP
 #define MINTKNOT_CRASHES_CRASH_WATCH_HPP
 
@@ -15,32 +15,36 @@
 
 namespace mintknot::crashes {
 
-/// How the watch reaches other instances and asks servers.
+/// Callbacks through which crash_watch reaches other instances and checks
+/// servers.
 struct crash_watch_callbacks {
     std::string own_host;
     std::function<void(const std::string& host, const std::string& datagram)>
         send;
-    /// @return hosts that put together what all instances tell
-    /// (policy::judges_of_crashes).
+    /// @return hosts that combine the crash reports of all instances and decide
+    /// which requests are blocked (policy/group.hpp).
     std::function<std::vector<std::string>()> evaluators;
-    /// @return hosts of instances that are heard.
+    /// @return hosts of the instances whose heartbeats are received.
     std::function<std::vector<std::string>()> peers;
-    /// @return hosts of instances that hear only this one and its like.
+    /// @return hosts of the leaves, which receive datagrams only from
+    /// super-peers; empty unless this instance is a super-peer.
     std::function<std::vector<std::string>()> leaf_hosts;
-    /// @return what to ask a server for to see whether it is there; nothing: it
-    /// has gone.
+    /// @return the health check to make at a server; nullopt if the server has
+    /// been removed.
     std::function<std::optional<relay::health_check>(const std::string& id)>
         health_check_for;
 };
 
-/// Where calls break, asks the server whether it is still there; where it is
-/// not, tells the evaluators what ran there. Blocks requests by the rule of
-/// policy/crash_evidence.hpp, tells all others of blocks at once, and a few of
-/// them now and then while there are any, so that restarted instances and those
-/// that come back from behind a cut learn of them. Sends nothing while no
-/// server crashes. Nothing is stored: a restart of all forgets everything.
+/// When a call breaks, checks whether its server is still alive; if it is not,
+/// reports the requests that ran there to the evaluators. Blocks requests by
+/// the rules of policy/crash_evidence.hpp. A new block is announced to all
+/// instances at once. While there are blocks, they are resent to a few
+/// instances periodically, so that instances that restart or return from a
+/// network partition learn of them. Sends nothing while no server crashes.
+/// Nothing is stored: if all instances restart, the blocks are lost.
 ///
-/// Lives on the loop's thread. Everything that is passed in must outlive it.
+/// Used only on the event loop's thread. The router and everything that the
+/// callbacks refer to must outlive it.
 class crash_watch final : public relay::crash_guard {
 public:
     crash_watch(relay::router_context& router, crash_watch_callbacks ports);
@@ -55,14 +59,15 @@
         base::milliseconds ran_for) override;
     void answered(const relay::request_identity& request) override;
 
-    /// The row of a server has gone, or tells of another life of it.
+    /// To be called when the row of a server was removed or shows a new
+    /// incarnation.
     void server_replaced(const std::string& server_id);
 
-    /// @return false if the datagram is about something else.
+    /// @return false if the datagram is not a crash message.
     bool receive(const std::string& host, std::string_view datagram);
 
-    /// Requests that are refused now, and servers that have ended under
-    /// requests of this instance since the start; for metrics.
+    /// For metrics: the number of requests that are blocked now, and of servers
+    /// that have ended while running requests of this instance since its start.
     std::size_t blocked() const;
     std::size_t servers_ended() const;
 
--- a/libs/mintknotd-platform/crashes/src/crash_detector.cpp
+++ b/libs/mintknotd-platform/crashes/src/crash_detector.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-/// Between two checks of a server that has answered: one that breaks calls and
-/// lives is not to be asked each time.
+/// Minimum time between two checks of a server that has answered, so that a
+/// live server that breaks many calls is not checked for each of them.
 constexpr base::milliseconds min_check_interval{1000};
-/// Calls that broke a little later than the others belong to the same end.
+/// Calls that break within this time after a server has ended belong to the
+/// same crash.
 constexpr base::milliseconds late_report_time{1000};
-/// Within this time a server's row shows that it has been started again.
+/// Time within which the row of a restarted server shows its new incarnation.
 constexpr base::milliseconds restart_detection_time{5000};
-/// Runs of one server that are told of.
+/// Maximum number of runs that are reported for one server.
 constexpr std::size_t max_runs = 64;
 
 std::string incarnation_of(const traffic::server& server) {
@@ -35,25 +36,26 @@
 
 void crash_detector::report_broken_call(
     const broken_run& run, const traffic::server& server) {
-    tracked_server& at = servers_[server.id];
+    tracked_server& tracked = servers_[server.id];
     const std::string incarnation = incarnation_of(server);
-    if (at.incarnation != incarnation) {
-        at = {};
-        at.incarnation = incarnation;
-        at.timer = std::make_unique<event::timer>(router_.loop);
+    if (tracked.incarnation != incarnation) {
+        tracked = {};
+        tracked.incarnation = incarnation;
+        tracked.timer = std::make_unique<event::timer>(router_.loop);
     }
-    if (at.runs.size() < max_runs)
-        at.runs.push_back({run, router_.loop.now()});
-    if (at.ended_at) {
-        report_runs(at);
+    if (tracked.runs.size() < max_runs)
+        tracked.runs.push_back({run, router_.loop.now()});
+    if (tracked.ended_at) {
+        report_runs(tracked);
         return;
     }
-    if (at.check != nullptr || at.check_planned)
+    if (tracked.check != nullptr || tracked.check_planned)
         return;
-    const base::steady_time due =
-        at.alive_at ? *at.alive_at + min_check_interval : router_.loop.now();
-    at.check_planned = true;
-    at.timer->start(due, [this, id = server.id] { check(id); });
+    const base::steady_time due = tracked.alive_at
+                                      ? *tracked.alive_at + min_check_interval
+                                      : router_.loop.now();
+    tracked.check_planned = true;
+    tracked.timer->start(due, [this, id = server.id] { check(id); });
 }
 
 void crash_detector::check(const std::string& id) {
@@ -62,18 +64,19 @@
         servers_.erase(id);
         return;
     }
-    tracked_server& at = servers_.at(id);
+    tracked_server& tracked = servers_.at(id);
     if (wanted->not_before > router_.loop.now()) {
-        at.timer->start(wanted->not_before, [this, id] { check(id); });
+        tracked.timer->start(wanted->not_before, [this, id] { check(id); });
         return;
     }
-    at.check_planned = false;
-    at.check = std::make_unique<liveness_check>(
+    tracked.check_planned = false;
+    tracked.check = std::make_unique<liveness_check>(
         router_.loop, router_.pool, wanted->server);
-    at.check->start(
+    tracked.check->start(
         router_.protocol.health(wanted->path, id),
         [this, id](liveness_verdict found) {
-            // The check is running: let it go afterwards.
+            // Posted, because on_verdict() destroys the check, which is running
+            // now.
             router_.loop.post(
                 [this, id, found, alive = std::weak_ptr<bool>(alive_token_)] {
                     if (!alive.expired())
@@ -86,56 +89,58 @@
     const auto entry = servers_.find(id);
     if (entry == servers_.end() || entry->second.ended_at)
         return;
-    tracked_server& at = entry->second;
-    at.check.reset();
+    tracked_server& tracked = entry->second;
+    tracked.check.reset();
     if (found == liveness_verdict::ended) {
-        on_server_ended(id, at);
+        on_server_ended(id, tracked);
         return;
     }
-    at.unconfirmed_runs = std::exchange(at.runs, {});
-    at.alive_at = router_.loop.now();
-    schedule_removal(id, at, restart_detection_time);
+    tracked.unconfirmed_runs = std::exchange(tracked.runs, {});
+    tracked.alive_at = router_.loop.now();
+    schedule_removal(id, tracked, restart_detection_time);
 }
 
 void crash_detector::on_server_ended(
-    const std::string& id, tracked_server& at) {
+    const std::string& id, tracked_server& tracked) {
     ++count_;
-    at.ended_at = router_.loop.now();
+    tracked.ended_at = router_.loop.now();
     router_.log.write(
         "server_ended",
-        {{"server", id}, {"runs", static_cast<std::int64_t>(at.runs.size())}});
-    report_runs(at);
-    schedule_removal(id, at, late_report_time);
+        {{"server", id},
+         {"runs", static_cast<std::int64_t>(tracked.runs.size())}});
+    report_runs(tracked);
+    schedule_removal(id, tracked, late_report_time);
 }
 
 void crash_detector::replaced(const std::string& id) {
     const auto entry = servers_.find(id);
     if (entry == servers_.end() || entry->second.ended_at)
         return;
-    tracked_server& at = entry->second;
-    at.check.reset();
-    at.runs.insert(
-        at.runs.end(), at.unconfirmed_runs.begin(), at.unconfirmed_runs.end());
-    at.unconfirmed_runs.clear();
-    if (!at.runs.empty())
-        on_server_ended(id, at);
+    tracked_server& tracked = entry->second;
+    tracked.check.reset();
+    tracked.runs.insert(
+        tracked.runs.end(), tracked.unconfirmed_runs.begin(),
+        tracked.unconfirmed_runs.end());
+    tracked.unconfirmed_runs.clear();
+    if (!tracked.runs.empty())
+        on_server_ended(id, tracked);
 }
 
-void crash_detector::report_runs(tracked_server& at) {
+void crash_detector::report_runs(tracked_server& tracked) {
     std::vector<broken_run> runs;
-    for (timestamped_run& entry : at.runs) {
+    for (timestamped_run& entry : tracked.runs) {
         entry.run.ago = std::chrono::duration_cast<base::milliseconds>(
             router_.loop.now() - entry.at);
         runs.push_back(std::move(entry.run));
     }
-    at.runs.clear();
-    on_ended_(at.incarnation, std::move(runs));
+    tracked.runs.clear();
+    on_ended_(tracked.incarnation, std::move(runs));
 }
 
 void crash_detector::schedule_removal(
-    const std::string& id, tracked_server& at, base::milliseconds time) {
-    at.check_planned = false;
-    at.timer->start(time, [this, id] { servers_.erase(id); });
+    const std::string& id, tracked_server& tracked, base::milliseconds time) {
+    tracked.check_planned = false;
+    tracked.timer->start(time, [this, id] { servers_.erase(id); });
 }
 
 } // namespace mintknot::crashes
--- a/libs/mintknotd-platform/crashes/src/crash_detector.hpp
+++ b/libs/mintknotd-platform/crashes/src/crash_detector.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Finds out which servers have ended under requests of this instance.
+/// Detects servers that end while they run requests of this instance.
 #ifndef MINTKNOT_CRASHES_ENDED_SERVERS_HPP
 #define MINTKNOT_CRASHES_ENDED_SERVERS_HPP
 
@@ -18,16 +18,18 @@
 
 namespace mintknot::crashes {
 
-/// Collects the calls that broke at a server, asks once for all of them whether
-/// it is still there, and tells what ran there if it is not. A server that
-/// answers may have been started again by then; its row tells.
+/// Collects the calls that broke at a server, checks once for all of them
+/// whether it is still alive, and reports them if it is not. A server that
+/// answers may already have been restarted; replaced() then reports the end.
 ///
-/// Lives on the loop's thread. Everything that is passed in must outlive it.
+/// Used only on the event loop's thread. The router and everything that the
+/// callbacks refer to must outlive it.
 class crash_detector {
 public:
     /// @param health_check_for see crash_watch_callbacks::health_check_for.
-    /// @param on_ended told of an end, and again of calls that broke a little
-    /// later. @param incarnation the server's ID and which incarnation of it.
+    /// @param on_ended called when a server has ended, and again with calls
+    /// that broke a little later. Its first argument combines the ID of the
+    /// server and its incarnation.
     crash_detector(
         relay::router_context& router,
         std::function<std::optional<relay::health_check>(const std::string& id)>
@@ -38,37 +40,40 @@
 
     void
     report_broken_call(const broken_run& run, const traffic::server& server);
-    /// The row of a server has gone, or tells of another incarnation.
+    /// To be called when the row of a server was removed or shows a new
+    /// incarnation.
     void replaced(const std::string& id);
-    /// @return how many have ended since the start.
+    /// @return the number of servers that have ended since the start.
     std::size_t count() const noexcept { return count_; }
 
 private:
-    /// A run and when it broke.
+    /// A run and the time when it broke.
     struct timestamped_run {
         broken_run run;
         base::steady_time at;
     };
 
-    /// A server under which calls broke.
+    /// A server at which calls broke.
     struct tracked_server {
         std::string incarnation;
-        std::vector<timestamped_run> runs; ///< Not told yet.
+        std::vector<timestamped_run> runs; ///< Not reported yet.
         /// Runs that broke although the server answered a moment later.
         std::vector<timestamped_run> unconfirmed_runs;
         std::unique_ptr<liveness_check> check;
         bool check_planned = false;
-        std::unique_ptr<event::timer> timer; ///< Of the check, or of the end.
+        /// For the next check, or for the removal of the entry.
+        std::unique_ptr<event::timer> timer;
         std::optional<base::steady_time> alive_at;
         std::optional<base::steady_time> ended_at;
     };
 
     void check(const std::string& id);
     void on_verdict(const std::string& id, liveness_verdict found);
-    void on_server_ended(const std::string& id, tracked_server& at);
-    void report_runs(tracked_server& at);
+    void on_server_ended(const std::string& id, tracked_server& tracked);
+    void report_runs(tracked_server& tracked);
     void schedule_removal(
-        const std::string& id, tracked_server& at, base::milliseconds time);
+        const std::string& id, tracked_server& tracked,
+        base::milliseconds time);
 
     relay::router_context& router_;
     std::function<std::optional<relay::health_check>(const std::string& id)>
--- a/libs/mintknotd-platform/crashes/src/crash_messages.cpp
+++ b/libs/mintknotd-platform/crashes/src/crash_messages.cpp
@@ -10,11 +10,12 @@
 
 using nlohmann::json;
 
-/// First element of a message; those below belong to other libraries.
+/// Message type, the first element of each message. Smaller numbers belong to
+/// other libraries.
 constexpr int report_format = 16;
 constexpr int block_format = 17;
 constexpr int clear_format = 18;
-/// As the JSON library numbers its own errors of this kind.
+/// The ID that the JSON library gives its own errors of this kind.
 constexpr int error_number = 501;
 
 [[noreturn]] void malformed(const char* what, const json& value) {
@@ -30,7 +31,7 @@
 base::milliseconds time_from(const json& value) {
     const auto count = value.get<std::int64_t>();
     if (count < 0)
-        malformed("a negative time", value);
+        malformed("negative time", value);
     return base::milliseconds(count);
 }
 
@@ -89,8 +90,9 @@
     }
 }
 
-/// The first element is a small number right behind the array's own byte: most
-/// datagrams are placements, and not to be parsed twice.
+/// Checks the message type, a small number right after the array's header byte,
+/// without parsing: most datagrams are placements, which would otherwise be
+/// parsed twice.
 bool may_be_about_crashes(std::string_view datagram) {
     return datagram.size() >= 2 && datagram[1] >= report_format &&
            datagram[1] <= clear_format;
@@ -107,11 +109,11 @@
 
 absl::StatusOr<crash_message> decode_crash_message(std::string_view datagram) {
     if (!may_be_about_crashes(datagram))
-        return absl::InvalidArgumentError("no message about crashes");
+        return absl::InvalidArgumentError("not a crash message");
     const json row =
         json::from_msgpack(datagram.begin(), datagram.end(), true, false);
     if (!row.is_array() || row.empty() || !row[0].is_number_integer())
-        return absl::InvalidArgumentError("no message about crashes");
+        return absl::InvalidArgumentError("not a crash message");
     try {
         return message_from(row);
     } catch (const json::exception&) {
--- a/libs/mintknotd-platform/crashes/src/crash_messages.hpp
+++ b/libs/mintknotd-platform/crashes/src/crash_messages.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The datagrams by which instances tell of crashes and blocked requests.
+/// Datagrams by which instances report crashes and announce blocked requests.
 #ifndef MINTKNOT_CRASHES_CRASH_MESSAGES_HPP
 #define MINTKNOT_CRASHES_CRASH_MESSAGES_HPP
 
@@ -14,25 +14,26 @@
 
 namespace mintknot::crashes {
 
-/// A request that ran on a server when that ended.
+/// A run of a request that broke off because its server ended.
 struct broken_run {
     policy::request_key key;
     base::milliseconds ran_for{0};
-    base::milliseconds ago{0}; ///< That it ended, when the message is sent.
+    base::milliseconds ago{0}; ///< Since the run broke, at the time of sending.
 };
 
-/// A server has ended without a word.
+/// Reports that a server has ended unexpectedly.
 struct crash_report {
     std::string server_incarnation; ///< See policy::crash_record.
     std::vector<broken_run> runs;
 };
 
-/// Requests that are refused.
+/// Announces requests that are blocked.
 struct block_announcement {
     std::vector<policy::block_news> blocks;
 };
 
-/// A server has given a whole answer to a request.
+/// Announces that a server has answered a request completely, which unblocks
+/// it.
 struct clear_announcement {
     std::string digest;
 };
@@ -40,14 +41,14 @@
 using crash_message =
     std::variant<crash_report, block_announcement, clear_announcement>;
 
-/// Entries of one message at most: it fits into one packet.
+/// Maximum number of entries in a message, so that it fits into one packet.
 inline constexpr std::size_t max_entries = 16;
 
-/// @return the message in MessagePack. Instances that do not know it take it
-/// for a malformed datagram and ignore it.
+/// @return the message in MessagePack. Instances that do not know the message
+/// type ignore it as a malformed datagram.
 std::string encode(const crash_message& value);
 
-/// @return InvalidArgument if the datagram is none of these messages.
+/// @return InvalidArgument if the datagram is not one of these messages.
 absl::StatusOr<crash_message> decode_crash_message(std::string_view datagram);
 
 } // namespace mintknot::crashes
--- a/libs/mintknotd-platform/crashes/src/crash_watch.cpp
+++ b/libs/mintknotd-platform/crashes/src/crash_watch.cpp
@@ -13,11 +13,12 @@
 
 namespace {
 
-/// What evaluators are told is told again after this time: datagrams are lost.
+/// Each message to the evaluators is sent again after this delay, as datagrams
+/// may be lost.
 constexpr base::milliseconds resend_delay{300};
 constexpr base::milliseconds block_resend_interval{1000};
-/// Who is told of blocks in each period: of the others, and the part of the
-/// leaves.
+/// Recipients of each resend of blocks: this many peers, and one in
+/// leaf_fraction of the leaves.
 constexpr std::size_t peers_per_resend = 4;
 constexpr std::size_t leaf_fraction = 4;
 
@@ -39,7 +40,7 @@
 
     base::steady_time now() const { return router.loop.now(); }
 
-    /// Tells the evaluators what ran on a server that has ended.
+    /// Reports to the evaluators which requests ran on a server that has ended.
     void report_crash(
         const std::string& server_incarnation, std::vector<broken_run> runs) {
         for (auto next = runs.begin(); next != runs.end();) {
@@ -61,7 +62,7 @@
         send_to_all(callbacks.evaluators(), encode(message));
     }
 
-    /// Does something after the resend time.
+    /// Runs an action once after resend_delay.
     void run_after_resend_delay(std::function<void()> action) {
         const std::uint64_t id = ++last_resend_id;
         auto& timer = pending_resends[id];
@@ -118,7 +119,7 @@
                                 {"told_by", by}});
     }
 
-    /// Tells everybody, and from now on some of them again and again.
+    /// Announces new blocks to all instances and starts the periodic resends.
     void broadcast_blocks(const std::vector<policy::block_news>& new_blocks) {
         for (std::size_t i = 0; i < new_blocks.size(); i += max_entries) {
             const auto begin =
@@ -252,7 +253,7 @@
     base::milliseconds ran_for) {
     const traffic::server* server =
         traffic::find(impl_->router.state.servers, server_id);
-    // The end of a server that leaves is nobody's fault.
+    // A server that leaves ends by design: that is not a crash.
     if (server == nullptr ||
         traffic::leaves(impl_->router.state.servers, *server))
         return;
--- a/libs/mintknotd-platform/crashes/src/liveness_check.cpp
+++ b/libs/mintknotd-platform/crashes/src/liveness_check.cpp
@@ -8,7 +8,7 @@
 
 constexpr int max_failures = 2;
 constexpr base::milliseconds retry_delay{150};
-/// Beyond it the server is taken for silent.
+/// Without an answer within this time, the verdict is unknown.
 constexpr base::milliseconds answer_timeout{300};
 
 } // namespace
--- a/libs/mintknotd-platform/crashes/src/liveness_check.hpp
+++ b/libs/mintknotd-platform/crashes/src/liveness_check.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Finds out whether a server has ended or has only lost a connection.
+/// Checks whether a server has ended or only a connection to it was lost.
 #ifndef MINTKNOT_CRASHES_END_CHECK_HPP
 #define MINTKNOT_CRASHES_END_CHECK_HPP
 
@@ -11,24 +11,25 @@
 
 namespace mintknot::crashes {
 
-/// What a check has found.
+/// Result of a liveness check.
 enum class liveness_verdict {
-    alive,  ///< It has answered something.
-    ended,  ///< Twice nobody listened, or the connection ended at once.
-    unknown ///< Silence: it may be cut off.
+    alive,  ///< The server has answered, whatever the status.
+    ended,  ///< Twice the connection was refused or closed without an answer.
+    unknown ///< No answer in time, or unreachable: the network may be down.
 };
 
-/// Makes a call on a new connection and, where nobody answers it, another one a
-/// moment later: a server with too many connections refuses some. Lives on the
-/// loop's thread; destroying it ends the check.
+/// Makes a call on a new connection and, if it fails, a second one a moment
+/// later, as a server with too many connections refuses some. Used only on the
+/// event loop's thread; destroying it cancels the check.
 class liveness_check {
 public:
     liveness_check(
         event::loop& owner, upstream::connection_pool& pool,
         upstream::target server);
 
-    /// @param request any call that a server in use answers at once.
-    /// @param then called once, not from within; it may destroy the check.
+    /// @param request any request that a live server answers at once.
+    /// @param then called once, never from within start(); it may destroy the
+    /// check.
     void start(
         http1::request_head request,
         std::function<void(liveness_verdict)> then);
--- a/libs/mintknotd-platform/crashes/tests/test_crash_watch.cpp
+++ b/libs/mintknotd-platform/crashes/tests/test_crash_watch.cpp
@@ -22,7 +22,7 @@
 constexpr auto prefill = traffic::engine_phase::prefill;
 constexpr auto decode = traffic::engine_phase::decode;
 
-/// A router with a watch, and what it sends to others.
+/// A router with a crash_watch whose datagrams are recorded.
 struct crash_watch_fixture : relay_fixture {
     crash_watch_fixture()
         : watch(
@@ -32,12 +32,12 @@
                    sent[host].push_back(datagram);
                },
                [] {
-                   return std::vector<std::string>{"self", "judge"};
+                   return std::vector<std::string>{"self", "evaluator"};
                },
                [] {
-                   return std::vector<std::string>{"judge", "peer"};
+                   return std::vector<std::string>{"evaluator", "peer"};
                },
-               [] { return std::vector<std::string>{"follower"}; },
+               [] { return std::vector<std::string>{"leaf"}; },
                [this](const std::string& id) {
                    return health_check_for(id);
                }}) {
@@ -52,8 +52,8 @@
         return relay::health_check{{id, server->where}, "/health", {}};
     }
 
-    /// Adds a server that ends when a request with the target /x/crash runs;
-    /// it answers others as given.
+    /// Adds a server that ends while it runs a request whose target ends in
+    /// /crash; `good` answers other requests.
     scripted_server& add_crashing_server(
         const std::string& id, const std::string& service,
         traffic::engine_phase phase, script good) {
@@ -74,7 +74,7 @@
         return server;
     }
 
-    /// @return a message of the kind that was sent to a host.
+    /// @return the first message of this type that was sent to a host.
     template<typename Message>
     std::optional<Message> sent_to(const std::string& host) const {
         const auto found = sent.find(host);
@@ -185,7 +185,8 @@
     cr_assert(f.watch.servers_ended() == 0);
     f.watch.server_replaced("s");
     cr_assert(f.watch.servers_ended() == 1);
-    cr_assert(f.sent_to<crash_report>("judge")->runs.at(0).key.digest == "d");
+    cr_assert(
+        f.sent_to<crash_report>("evaluator")->runs.at(0).key.digest == "d");
 }
 
 Test(crash_watch, evaluators_get_reports_and_all_hosts_get_blocks) {
@@ -193,16 +194,17 @@
     f.add_dead_server("s", "app");
     f.watch.call_broke(identity("d"), "s", base::milliseconds(5));
     f.run_until([&] { return f.watch.servers_ended() == 1; });
-    cr_assert(f.sent_to<crash_report>("judge")->server_incarnation == "s/0");
+    cr_assert(
+        f.sent_to<crash_report>("evaluator")->server_incarnation == "s/0");
     cr_assert(!f.sent_to<crash_report>("peer"));
     base::milliseconds ago{0};
-    for (const char* life : {"t/0", "u/0"}) {
+    for (const char* incarnation : {"t/0", "u/0"}) {
         ago += base::milliseconds(1000);
         const broken_run run{{"d", 2}, base::milliseconds(7), ago};
-        f.watch.receive("peer", encode(crash_report{life, {run}}));
+        f.watch.receive("peer", encode(crash_report{incarnation, {run}}));
     }
     f.run_until([&] { return f.watch.blocked() == 1; });
-    for (const char* host : {"judge", "peer", "follower"})
+    for (const char* host : {"evaluator", "peer", "leaf"})
         cr_assert(
             f.sent_to<block_announcement>(host)->blocks.at(0).key.digest ==
             "d");
@@ -214,9 +216,9 @@
     crash_watch_fixture f;
     const std::string announcement =
         encode(block_announcement{{{{"d", 2}, base::milliseconds(60000), 1}}});
-    f.watch.receive("judge", announcement);
+    f.watch.receive("evaluator", announcement);
     cr_assert(f.watch.blocked() == 1);
-    cr_assert(f.sent_to<block_announcement>("follower").has_value());
+    cr_assert(f.sent_to<block_announcement>("leaf").has_value());
     f.run_until(
         [&] { return f.sent_to<block_announcement>("peer").has_value(); });
 }
@@ -225,12 +227,12 @@
     crash_watch_fixture f;
     const std::string announcement =
         encode(block_announcement{{{{"d", 2}, base::milliseconds(60000), 1}}});
-    f.watch.receive("judge", announcement);
+    f.watch.receive("evaluator", announcement);
     f.watch.answered(identity("d"));
     cr_assert(f.watch.blocked() == 0);
-    for (const char* host : {"judge", "peer", "follower"})
+    for (const char* host : {"evaluator", "peer", "leaf"})
         cr_assert(f.sent_to<clear_announcement>(host)->digest == "d");
-    f.watch.receive("judge", announcement);
+    f.watch.receive("evaluator", announcement);
     cr_assert(f.watch.blocked() == 0);
 }
 
@@ -242,8 +244,9 @@
         [&](const received& to, const event::connection_ptr& link) {
             const auto digest = relay::request_digest("", to.head, to.body);
             f.watch.receive(
-                "judge", encode(block_announcement{
-                             {{{digest, 2}, base::milliseconds(60000), 1}}}));
+                "evaluator",
+                encode(block_announcement{
+                    {{{digest, 2}, base::milliseconds(60000), 1}}}));
             link->write(answer_to(to, "handle k"));
         });
     const caller_view seen =
--- a/libs/mintknotd-platform/crashes/tests/test_liveness_check.cpp
+++ b/libs/mintknotd-platform/crashes/tests/test_liveness_check.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// @return what a check of the server finds.
+/// @return the result of a check of the server.
 liveness_verdict check(relay_fixture& f, const std::string& id) {
     const traffic::server* server = traffic::find(f.context.state.servers, id);
     liveness_check checking(f.owner, f.pool, {id, server->where});
--- a/libs/mintknotd-platform/limits/include/mintknot/limits/usage_accounts.hpp
+++ b/libs/mintknotd-platform/limits/include/mintknot/limits/usage_accounts.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Keeps organisations within their limits over all instances.
+/// Enforces the usage limits of organisations across all instances.
 #ifndef MINTKNOT_LIMITS_USAGE_ACCOUNTS_HPP
 #define MINTKNOT_LIMITS_USAGE_ACCOUNTS_HPP
 
@@ -15,30 +15,32 @@
 
 namespace mintknot::limits {
 
-/// Another instance that is heard at present.
+/// Another instance whose heartbeats are received.
 struct group_peer {
     std::string host;
     std::string data_centre;
     bool leaving = false;
-    base::milliseconds silence{0}; ///< Since it was last heard.
+    base::milliseconds silence{0}; ///< Since its last heartbeat.
 };
 
-/// How the accounts reach other instances.
+/// Callbacks through which usage_accounts reaches other instances.
 struct usage_account_callbacks {
     std::string own_host;
     /// Sends a datagram to the instance on that host.
     std::function<void(const std::string& host, const std::string& datagram)>
         send;
-    /// @return the others that are heard.
+    /// @return the other instances whose heartbeats are received.
     std::function<std::vector<group_peer>()> members;
-    /// @return true while this instance may keep accounts: it does not stop.
+    /// @return true while this instance may keep accounts, that is, until it
+    /// begins to stop.
     std::function<bool()> may_keep_accounts;
-    /// @return how many instances share what each may grant alone, where
-    /// members() are only some of them; else 0. Empty: 0.
+    /// @return the number of instances that divide a limit when each grants
+    /// from its own account, if members() lists only some of them; else 0. May
+    /// be empty, which means 0.
     std::function<std::size_t()> instance_count{};
 };
 
-/// What has become of questions, since the start, for metrics.
+/// Outcomes of usage requests since the start, for metrics.
 struct account_counters {
     std::uint64_t granted = 0;
     std::uint64_t refused = 0;
@@ -46,11 +48,13 @@
     std::uint64_t granted_alone = 0; ///< Granted by the instance's own account.
 };
 
-/// Asks the keeper of an organisation's account before a request runs, and
-/// answers such questions of others (policy/usage_account.hpp). Two datagrams a
-/// request; nothing is stored, and nobody needs to agree on keepers.
+/// Asks the instance that keeps the account of an organisation (its keeper)
+/// before a request runs, and answers usage requests of other instances
+/// (policy/usage_account.hpp). Takes two datagrams per request. Nothing is
+/// stored, and choosing keepers needs no consensus.
 ///
-/// Lives on the loop's thread. Everything that is passed in must outlive it.
+/// Used only on the event loop's thread. The router and everything that the
+/// callbacks refer to must outlive it.
 class usage_accounts final : public relay::usage_limiter {
 public:
     usage_accounts(
@@ -67,10 +71,10 @@
         const std::string& organisation,
         const relay::usage_grant& unused) override;
 
-    /// The settings have changed.
+    /// Applies changed settings.
     void set_bounds(const policy::usage_bounds& bounds);
 
-    /// @return false if the datagram is about something else.
+    /// @return false if the datagram is not a usage message.
     bool receive(const std::string& host, std::string_view datagram);
 
     const account_counters& counters() const;
--- a/libs/mintknotd-platform/limits/src/account_table.cpp
+++ b/libs/mintknotd-platform/limits/src/account_table.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// Of 43,000 organisations each of 390 instances keeps some 110.
+/// Of 43,000 organisations, each of 390 instances keeps about 110.
 constexpr std::size_t max_accounts = 4096;
 
-/// How long a doubled datagram is known for one, at least.
+/// Minimum time for which a duplicate refund is recognised.
 constexpr base::milliseconds duplicate_detection_time{5000};
 
 bool idle_since(
--- a/libs/mintknotd-platform/limits/src/account_table.hpp
+++ b/libs/mintknotd-platform/limits/src/account_table.hpp
@@ -15,8 +15,9 @@
 
 namespace mintknot::limits {
 
-/// Accounts by organisation, each of three kinds. Bounded: with too many, those
-/// that have been idle longest begin anew.
+/// Accounts by organisation, one of each account_kind. Bounded: when there are
+/// too many, organisations that have been idle for a window are dropped, and
+/// their accounts begin anew.
 class account_table {
 public:
     explicit account_table(policy::usage_bounds bounds);
@@ -28,13 +29,13 @@
         const traffic::organisation& who, account_kind account, double cost,
         base::steady_time now);
 
-    /// Puts back what a question of `host` was granted. A return that comes
-    /// twice counts once.
+    /// Puts back what a request of `host` was granted. A duplicate refund
+    /// counts once.
     void refund(
         const traffic::organisation& who, const std::string& host,
         const usage_refund& unused, base::steady_time now);
 
-    /// Takes out of the keeper's account what was granted elsewhere.
+    /// Charges the keeper's account for what was granted elsewhere.
     void charge(
         const traffic::organisation& who, double cost, base::steady_time now);
 
@@ -42,7 +43,7 @@
 
 private:
     using account_set = std::array<policy::usage_account, 3>;
-    /// Numbers of returns, by host.
+    /// Host and number of each refund.
     using refund_set =
         absl::flat_hash_set<std::pair<std::string, std::uint64_t>>;
 
@@ -51,7 +52,7 @@
     policy::account_terms
     terms(const traffic::usage_limit& limit, account_kind account) const;
     void drop_idle(base::steady_time now);
-    /// @return false if the return has been seen already.
+    /// @return false if the refund is a duplicate.
     bool note_refund(
         const std::string& host, std::uint64_t number, base::steady_time now);
 
@@ -60,7 +61,7 @@
     absl::flat_hash_map<std::string, account_set> accounts_;
     refund_set refunds_;
     refund_set older_refunds_;
-    base::steady_time refunds_began_{}; ///< When `refunds_` was begun.
+    base::steady_time refunds_began_{}; ///< When `refunds_` was started.
 };
 
 } // namespace mintknot::limits
--- a/libs/mintknotd-platform/limits/src/group_tracker.cpp
+++ b/libs/mintknotd-platform/limits/src/group_tracker.cpp
@@ -24,7 +24,7 @@
     std::erase_if(last_heard_, [now](const auto& item) {
         return now - item.second > policy::silent_keeper_life;
     });
-    // This instance is heard, but not among the others.
+    // `view.heard` counts this instance, `last_heard_` does not contain it.
     view.silent = last_heard_.size() - (view.heard - 1);
     view.uptime =
         std::chrono::duration_cast<base::milliseconds>(now - started_);
--- a/libs/mintknotd-platform/limits/src/group_tracker.hpp
+++ b/libs/mintknotd-platform/limits/src/group_tracker.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How many instances there are, and how many of them have fallen silent.
+/// Counts the instances of the group and those that have fallen silent.
 #ifndef MINTKNOT_LIMITS_GROUP_TRACKER_HPP
 #define MINTKNOT_LIMITS_GROUP_TRACKER_HPP
 
@@ -11,14 +11,16 @@
 
 namespace mintknot::limits {
 
-/// Remembers instances that were heard and neither said that they leave nor
-/// have been heard lately: they may be granting parts of limits beyond a cut.
+/// Remembers instances that have fallen silent without announcing that they
+/// leave: they may still grant parts of limits on the other side of a network
+/// partition.
 class group_tracker {
 public:
     explicit group_tracker(base::steady_time started)
         : started_(started) {}
 
-    /// Looks at who is heard now. @param data_centre the own one.
+    /// Updates the records with the instances that are heard now. @param
+    /// data_centre that of this instance.
     policy::group_view update(
         const std::vector<group_peer>& heard, const std::string& data_centre,
         base::steady_time now);
--- a/libs/mintknotd-platform/limits/src/keeper_directory.cpp
+++ b/libs/mintknotd-platform/limits/src/keeper_directory.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-/// Shortest and longest time for which a silent host is passed over. A lost
-/// datagram costs the first, a peer is forgotten within some of the last.
+/// Shortest and longest time for which a host is suspected. A single lost
+/// datagram costs the shortest; a peer that is gone is forgotten within a few
+/// of the longest.
 constexpr base::milliseconds min_suspect_time{800};
 constexpr base::milliseconds max_suspect_time{3200};
 
--- a/libs/mintknotd-platform/limits/src/keeper_directory.hpp
+++ b/libs/mintknotd-platform/limits/src/keeper_directory.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which instance keeps the account of an organisation.
+/// Finds the instance that keeps the account of an organisation.
 #ifndef MINTKNOT_LIMITS_KEEPER_DIRECTORY_HPP
 #define MINTKNOT_LIMITS_KEEPER_DIRECTORY_HPP
 
@@ -13,24 +13,27 @@
 
 namespace mintknot::limits {
 
-/// Keepers by rendezvous hashing among the hosts that stay. One that does not
-/// answer is passed over for a while, longer each time: behind a cut each
-/// question would wait for it in vain. It comes back with its first answer.
+/// Chooses keepers by rendezvous hashing among the hosts that are not leaving.
+/// A host that does not answer is suspected and skipped for a while, longer
+/// each time: during a network partition, every request would wait for it until
+/// the timeout. Its next answer ends the suspicion.
 class keeper_directory {
 public:
-    /// Takes the hosts that stay, of all data centres and of the own one.
+    /// Sets the hosts that are not leaving: those of all data centres and those
+    /// of the own one.
     void
     set_hosts(std::vector<std::string> all, std::vector<std::string> local);
 
-    /// @return the host to ask; empty: there is none that answers.
+    /// @return the host to ask; empty if there is none that is not suspected.
     std::string host_of(
         const std::string& organisation, account_kind account,
         base::steady_time now);
 
-    /// @return the keeper's host, whether it answers or not.
+    /// @return the keeper's host, whether it is suspected or not.
     const std::string& keeper_of(const std::string& organisation);
 
-    /// @return how long the host is passed over from now on.
+    /// Suspects a host that did not answer. @return how long it is skipped from
+    /// now on.
     base::milliseconds suspect(const std::string& host, base::steady_time now);
     void clear_suspicion(const std::string& host) { suspects_.erase(host); }
 
@@ -39,7 +42,7 @@
         base::steady_time until;
         base::milliseconds length{0};
     };
-    /// Keepers that have been looked up among the present hosts.
+    /// Keepers among the current hosts, by organisation.
     using keeper_cache = absl::flat_hash_map<std::string, std::string>;
 
     bool is_suspect(const std::string& host, base::steady_time now) const;
--- a/libs/mintknotd-platform/limits/src/usage_accounts.cpp
+++ b/libs/mintknotd-platform/limits/src/usage_accounts.cpp
@@ -16,16 +16,16 @@
 
 namespace {
 
-/// How long a keeper has for its answer: ten times the way there and back
-/// between data centres.
+/// Shortest time to wait for an answer: ten times the round trip between data
+/// centres.
 constexpr base::milliseconds min_answer_timeout{30};
 
-/// How long an answer is waited for whose question has gone: what it grants
-/// goes back.
+/// How long the answer to a request that was given up is still accepted, in
+/// order to refund what it grants.
 constexpr base::milliseconds late_answer_time{2000};
 
-/// How often the group is looked at anew. Heartbeats that show a change come as
-/// often.
+/// How often the view of the group is refreshed. Heartbeats that show a change
+/// come as often.
 constexpr base::milliseconds group_refresh_interval{200};
 
 /// A request that waits for a grant.
@@ -35,17 +35,17 @@
     std::string organisation;
     double cost = 0.0;
     relay::usage_handler then;
-    account_kind account = account_kind::keeper; ///< That is being asked.
+    account_kind account = account_kind::keeper; ///< The one being asked.
     event::timer timer;
 };
 
-/// A question to another instance.
+/// A usage request that was sent to another instance.
 struct outstanding_request {
     std::string host;
     std::string organisation;
     double cost = 0.0;
     account_kind account = account_kind::keeper;
-    std::uint64_t waiting = 0; ///< Number of the request that it is for.
+    std::uint64_t waiting = 0; ///< Key in usage_accounts::impl::waiting.
     base::steady_time asked;
 };
 
@@ -70,7 +70,8 @@
                    : config->organisations->find_by_name(name);
     }
 
-    /// Takes over who is heard, unless it did so a moment ago.
+    /// Updates keepers and shares from the instances that are heard, unless
+    /// that was done within group_refresh_interval.
     void refresh_group() {
         if (refreshed_at && now() - *refreshed_at < group_refresh_interval)
             return;
@@ -110,7 +111,7 @@
         entry->cost = cost;
         entry->then = std::move(then);
         waiting.emplace(number, std::move(entry));
-        // The contract: the answer never comes from within ask().
+        // By contract, the handler is never called before this call returns.
         router.loop.post(
             [this, number, alive = std::weak_ptr<bool>(alive_token)] {
                 if (!alive.expired())
@@ -119,7 +120,8 @@
         return number;
     }
 
-    /// Asks the account at hand, wherever it is kept.
+    /// Draws from the current account of a request, here or at the host that
+    /// keeps it.
     void ask_current_account(std::uint64_t number) {
         const auto found = waiting.find(number);
         if (found == waiting.end())
@@ -168,7 +170,7 @@
         ask_next_account(number);
     }
 
-    /// The account at hand gave no verdict.
+    /// The current account gave no verdict: tries the next one.
     void ask_next_account(std::uint64_t number) {
         const auto found = waiting.find(number);
         if (found == waiting.end())
@@ -177,8 +179,8 @@
         ask_current_account(number);
     }
 
-    /// @return nothing if the organisation is not known here. One that has no
-    /// limit any more is granted everything.
+    /// @return nullopt if the organisation is not known here. An organisation
+    /// that no longer has a limit is granted everything.
     std::optional<policy::draw_result>
     draw(const std::string& organisation, account_kind account, double cost) {
         const traffic::organisation* who = find(organisation);
@@ -190,7 +192,8 @@
     }
 
     void draw_locally(std::uint64_t number, waiting_request& entry) {
-        // Whose organisation has gone is refused for its key before it runs.
+        // If the organisation has been removed, the request is refused for its
+        // key before it runs, so it may be granted here.
         const policy::draw_result drawn =
             draw(entry.organisation, entry.account, entry.cost)
                 .value_or(policy::draw_result{true, base::milliseconds{0}});
@@ -200,7 +203,7 @@
         finish(number, callbacks.own_host, number, std::move(grant));
     }
 
-    /// @param question number under which a grant may be given back.
+    /// @param request_number number under which the grant may be refunded.
     void finish(
         std::uint64_t number, const std::string& host,
         std::uint64_t request_number, relay::usage_grant grant) {
@@ -218,7 +221,7 @@
         then(grant);
     }
 
-    /// Tells the keeper what was granted without it.
+    /// Charges the keeper's account for what was granted without it.
     void charge_keeper(const std::string& organisation, double cost) {
         const std::string& keeper = directory.keeper_of(organisation);
         if (keeper != callbacks.own_host)
@@ -312,7 +315,7 @@
     std::optional<base::steady_time> refreshed_at;
     std::uint64_t last_number;
     std::map<std::uint64_t, std::unique_ptr<waiting_request>> waiting;
-    /// In the order in which they were asked.
+    /// By number, and so in the order of sending.
     std::map<std::uint64_t, outstanding_request> outstanding;
     account_counters counters;
     std::shared_ptr<bool> alive_token = std::make_shared<bool>(true);
--- a/libs/mintknotd-platform/limits/src/usage_messages.cpp
+++ b/libs/mintknotd-platform/limits/src/usage_messages.cpp
@@ -11,8 +11,8 @@
 
 using nlohmann::json;
 
-/// First element of a message; heartbeats have 1, placements 2 to 4, loans 5
-/// and 6, demand reports 7.
+/// Message type, the first element of each message. Heartbeats use 1,
+/// placements 2 to 4, loans 5 and 6, demand reports 7.
 constexpr int request_format = 8;
 constexpr int answer_format = 9;
 constexpr int refund_format = 10;
@@ -48,11 +48,11 @@
     return static_cast<Enum>(number);
 }
 
-/// A negative cost would let a question fill an account.
+/// Rejects negative costs, with which a request would fill an account.
 double cost_from(const json& value) {
     const auto cost = value.get<std::int64_t>();
     if (cost < 0)
-        throw json::other_error::create(501, "a negative cost", &value);
+        throw json::other_error::create(501, "negative cost", &value);
     return static_cast<double>(cost);
 }
 
@@ -77,8 +77,9 @@
     return {row.at(1).get<std::string>(), cost_from(row.at(2))};
 }
 
-/// The first element is a small number right behind the array's own byte: most
-/// datagrams are of other kinds, and not to be parsed twice.
+/// Checks the message type, a small number right after the array's header byte,
+/// without parsing: most datagrams are of other types and would otherwise be
+/// parsed twice.
 bool may_be_usage_message(std::string_view datagram) {
     return datagram.size() >= 2 && datagram[1] >= request_format &&
            datagram[1] <= charge_format;
@@ -110,7 +111,7 @@
 
 absl::StatusOr<usage_message> decode_usage(std::string_view datagram) {
     if (!may_be_usage_message(datagram))
-        return absl::InvalidArgumentError("no message about usage");
+        return absl::InvalidArgumentError("not a usage message");
     const json row =
         json::from_msgpack(datagram.begin(), datagram.end(), true, false);
     try {
--- a/libs/mintknotd-platform/limits/src/usage_messages.hpp
+++ b/libs/mintknotd-platform/limits/src/usage_messages.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The datagrams by which instances ask each other for parts of a limit.
+/// Datagrams by which instances request parts of a limit from each other.
 #ifndef MINTKNOT_LIMITS_USAGE_MESSAGES_HPP
 #define MINTKNOT_LIMITS_USAGE_MESSAGES_HPP
 
@@ -14,14 +14,14 @@
 
 namespace mintknot::limits {
 
-/// Which account of an organisation, by how much of the limit it gives out.
+/// Account of an organisation, by the part of the limit that it grants.
 enum class account_kind {
     keeper, ///< For all instances.
-    deputy, ///< For those of one data centre, while the keeper is silent.
-    own     ///< For the instance itself, while both are.
+    deputy, ///< For one data centre, while the keeper is silent.
+    own     ///< For the instance itself, while keeper and deputy are silent.
 };
 
-/// Asks to draw from an account.
+/// Asks to draw a cost from an account.
 struct usage_request {
     std::uint64_t number = 0; ///< The answer repeats it.
     std::string organisation;
@@ -41,7 +41,7 @@
     base::milliseconds retry_after{0}; ///< If refused.
 };
 
-/// Returns what was granted to the question of that number.
+/// Refunds what was granted to the request with this number.
 struct usage_refund {
     std::uint64_t number = 0;
     std::string organisation;
@@ -49,7 +49,8 @@
     account_kind account = account_kind::keeper;
 };
 
-/// Tells the keeper what has been granted while it did not answer.
+/// Charges the keeper's account for what was granted while the keeper did not
+/// answer.
 struct usage_charge {
     std::string organisation;
     double cost = 0.0;
@@ -61,7 +62,7 @@
 /// @return the message in MessagePack.
 std::string encode(const usage_message& value);
 
-/// @return InvalidArgument if the datagram is none of these messages.
+/// @return InvalidArgument if the datagram is not one of these messages.
 absl::StatusOr<usage_message> decode_usage(std::string_view datagram);
 
 } // namespace mintknot::limits
--- a/libs/mintknotd-platform/limits/tests/group_simulation.cpp
+++ b/libs/mintknotd-platform/limits/tests/group_simulation.cpp
@@ -41,7 +41,7 @@
     reference_.updated = now_;
     reference_.level = who_.limit.burst;
     add(options_.instances);
-    // The group has been there for a while before the first request.
+    // The group has been running for a minute before the first request.
     for (std::size_t i = 0; i < members_.size(); ++i)
         members_[i].group =
             std::make_unique<group_tracker>(now_ - std::chrono::seconds(60));
@@ -225,7 +225,7 @@
     const bool stream = std::uniform_real_distribution<double>(0.0, 1.0)(
                             random_) < stream_share;
     const double cost = stream ? stream_cost : plain_cost;
-    // Callers of an instance that is down turn to another one.
+    // Callers of an instance that is down use another one.
     for (std::size_t i = 0; i < members_.size() && !runs(instance); ++i)
         instance = (instance + 1) % members_.size();
     if (!runs(instance))
@@ -271,7 +271,7 @@
             self.frozen_until > now_)
             continue;
         self.frozen_until = {};
-        // Datagrams that have waited for it are read first.
+        // Datagrams that arrived during the freeze are read first.
         next_heartbeat_ = now_;
         exchange_heartbeats();
         self.refreshed_at = {};
--- a/libs/mintknotd-platform/limits/tests/group_simulation.hpp
+++ b/libs/mintknotd-platform/limits/tests/group_simulation.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A whole group of instances that keeps one organisation within its limit, in
-/// virtual time.
+/// Simulates, in virtual time, a group of instances that enforces the limit of
+/// one organisation.
 #ifndef MINTKNOT_LIMITS_TESTS_GROUP_PLAY_HPP
 #define MINTKNOT_LIMITS_TESTS_GROUP_PLAY_HPP
 
@@ -17,48 +17,47 @@
 
 namespace mintknot::limits::tests {
 
-/// How the group decides.
+/// How the group enforces the limit.
 enum class limit_strategy {
-    accounts,     ///< A keeper, deputies, and each alone: the product's.
-    equal_shares, ///< Each instance has an equal part of the limit, no
-                  ///< messages.
-    keeper_only   ///< A keeper; who cannot reach it lets everything in.
+    accounts,     ///< As in production: keeper, deputies, own accounts.
+    equal_shares, ///< An equal share per instance, no messages.
+    keeper_only   ///< A keeper; all is granted while it is silent.
 };
 
 struct simulation_options {
     std::size_t instances = 88;
     limit_strategy strategy = limit_strategy::accounts;
     unsigned seed = 1;
-    double load = 1.0; ///< Of the rate.
-    /// Where requests come in; default: anywhere.
+    double load = 1.0; ///< As a multiple of the limit's rate.
+    /// Chooses the instance that gets a request; by default, uniformly.
     std::function<std::size_t(std::mt19937&, std::size_t instances)>
         pick_instance;
-    double loss = 0.0; ///< Of questions.
+    double loss = 0.0; ///< Fraction of usage requests that are lost.
 };
 
 struct simulation_result {
-    double largest_window = 0.0; ///< Over the bound.
-    double refused_within_limit =
-        0.0;           ///< Share of the requests within_limit the limit.
-    double used = 0.0; ///< Of what the limit allowed to run in all.
+    double largest_window = 0.0; ///< Relative to the bound.
+    /// Fraction of the requests within the limit that was refused.
+    double refused_within_limit = 0.0;
+    double used = 0.0; ///< Relative to the total that the limit allowed.
 };
 
-/// Plays requests of one organisation: a quarter are streams of some 5,300
-/// tokens, the others cost 200. What is within_limit the limit is told by one
-/// account that sees everything.
+/// Simulates the requests of one organisation: a quarter are streams of 5,300
+/// tokens, the others cost 200. A reference account that sees all requests
+/// decides which of them are within the limit.
 class group_simulation {
 public:
     explicit group_simulation(simulation_options options);
 
-    /// Plays so long.
+    /// Simulates a period of time.
     void run(base::milliseconds time);
-    /// What has been seen since the last call.
+    /// @return the results since the last call.
     simulation_result take_result();
 
     std::size_t keeper() const;
     void kill(std::size_t instance, base::milliseconds down);
     void kill_all(base::milliseconds down);
-    /// Runs on after a while and believes that no time has passed.
+    /// Suspends an instance, which then continues with its old state.
     void freeze(std::size_t instance, base::milliseconds time);
     /// Cuts a data centre off from the others.
     void cut(std::size_t data_centre, base::milliseconds time);
@@ -75,13 +74,14 @@
         base::steady_time frozen_until{};
         base::steady_time refreshed_at{};
         std::vector<base::steady_time> heard; ///< By instance.
-        double pending_charges = 0.0; ///< Charges that wait for it to thaw.
+        double pending_charges = 0.0;         ///< Received while frozen.
     };
 
     void start(std::size_t instance);
     bool connected(std::size_t left, std::size_t right) const;
     bool runs(std::size_t instance) const;
-    /// Restarts who was dead, and gives who was frozen what has waited.
+    /// Restarts killed instances, and delivers what was sent to frozen
+    /// instances once they continue.
     void resume_instances();
     void exchange_heartbeats();
     void refresh(std::size_t instance);
--- a/libs/mintknotd-platform/limits/tests/test_account_table.cpp
+++ b/libs/mintknotd-platform/limits/tests/test_account_table.cpp
@@ -11,7 +11,7 @@
 
 const base::steady_time start = base::steady_time{} + std::chrono::hours(1);
 
-/// 1,000 a second, and 400 may be overdrawn.
+/// With a limit of 1,000 per second, the keeper may overdraw by 400.
 const policy::usage_bounds bounds{milliseconds{8000}, 0.0, 1600.0};
 
 traffic::organisation limited(const std::string& name) {
@@ -40,7 +40,7 @@
 Test(account_table, shares_limit_each_account) {
     account_table table(bounds);
     table.set_shares({1.0, 0.25, 0.01});
-    // 0.6 of the slack of 1,600, by the shares.
+    // The overdraft is 0.6 of the slack of 1,600, times the share.
     cr_assert(!draws(table, account_kind::deputy, 241.0));
     cr_assert(draws(table, account_kind::deputy, 239.0));
     cr_assert(!draws(table, account_kind::own, 9.7));
@@ -55,7 +55,7 @@
     table.refund(limited("o"), "h", unused, start);
     cr_assert(draws(table, account_kind::keeper, 100.0));
     cr_assert(!draws(table, account_kind::keeper, 1.0));
-    // The same number of another instance is another return.
+    // The same number from another host is a different refund.
     table.refund(limited("o"), "g", unused, start);
     cr_assert(draws(table, account_kind::keeper, 100.0));
 }
--- a/libs/mintknotd-platform/limits/tests/test_usage_accounts.cpp
+++ b/libs/mintknotd-platform/limits/tests/test_usage_accounts.cpp
@@ -18,8 +18,8 @@
 
 const policy::usage_bounds bounds{milliseconds{8000}, 0.0, 4000.0};
 
-/// Instances on one loop whose datagrams reach each other, unless a host is
-/// silent.
+/// Instances on one event loop that exchange datagrams, except with silent
+/// hosts.
 class group {
 public:
     explicit group(std::size_t instances) {
@@ -69,21 +69,21 @@
         return *f.context.state.config->organisations->find_by_name("o");
     }
 
-    /// Asks, and waits for the answer.
+    /// Requests a grant and waits for the answer.
     relay::usage_grant ask(const std::string& host, double cost) {
-        std::optional<relay::usage_grant> told;
+        std::optional<relay::usage_grant> result;
         const auto ticket = members.at(host)->ask(
             who(), cost,
-            [&](const relay::usage_grant& grant) { told = grant; });
-        cr_assert(!told, "answered from within");
-        f.run_until([&] { return told.has_value(); });
-        return *told;
+            [&](const relay::usage_grant& grant) { result = grant; });
+        cr_assert(!result, "handler called before the call returned");
+        f.run_until([&] { return result.has_value(); });
+        return *result;
     }
 
     relay::tests::relay_fixture f;
     std::map<std::string, std::unique_ptr<usage_accounts>> members;
-    std::vector<std::string> asked;   ///< To whom questions went.
-    std::vector<std::string> charged; ///< To whom charges went.
+    std::vector<std::string> asked;   ///< Recipients of usage requests.
+    std::vector<std::string> charged; ///< Recipients of charges.
     std::set<std::string> silent;
 };
 
@@ -95,8 +95,8 @@
     for (int i = 0; i < 40; ++i)
         if (g.ask("h" + std::to_string(i % 4), 100.0).granted)
             granted += 100.0;
-    // The overdraft of the keeper, shared by ten at the start, and what a
-    // thousand a second earn meanwhile.
+    // The keeper's overdraft, of which it has a tenth at the start, and what
+    // 1,000 tokens per second earn meanwhile.
     cr_assert(granted >= 300.0);
     cr_assert(granted <= 1500.0);
 }
@@ -125,7 +125,7 @@
     group g(3);
     for (const char* host : {"h0", "h1", "h2"})
         g.ask(host, 1.0);
-    // Whoever is asked by the others keeps the account.
+    // The host that the others ask is the keeper.
     const std::string keeper = g.asked.front();
     const std::string asker = keeper == "h0" ? "h1" : "h0";
     g.silent = {keeper};
@@ -134,7 +134,7 @@
     for (int i = 0; i < 5; ++i)
         cr_assert(g.ask(asker, 1.0).granted);
     cr_assert(std::count(g.asked.begin(), g.asked.end(), keeper) == 0);
-    // What is granted meanwhile is charged to it, should it be there after all.
+    // Grants are still charged to the keeper, which may be alive.
     cr_assert(std::count(g.charged.begin(), g.charged.end(), keeper) == 6);
 }
 
@@ -146,9 +146,9 @@
     const std::string asker = keeper == "h0" ? "h1" : "h0";
     auto ticket =
         g.members.at(asker)->ask(g.who(), 150.0, [](const relay::usage_grant&) {
-            cr_assert(false, "withdrawn");
+            cr_assert(false, "handler called after cancellation");
         });
-    // The question goes out, then its request ends.
+    // The request is sent, then its ticket is destroyed.
     g.f.owner.post([&] { ticket.reset(); });
     g.f.run_until([&, turns = 0]() mutable { return ++turns > 5; });
     cr_assert(g.ask(asker, 150.0).granted);
--- a/libs/mintknotd-platform/limits/tests/test_usage_bound.cpp
+++ b/libs/mintknotd-platform/limits/tests/test_usage_bound.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The limit of an organisation over a whole group, under faults.
+/// Checks that the limit of an organisation holds across a group under faults.
 
 #include "group_simulation.hpp"
 
@@ -15,10 +15,10 @@
 
 namespace {
 
-/// One organisation at several times its limit, as the hottest of the shifted
-/// deployment is.
+/// Load of an organisation that sends several times its limit, as the busiest
+/// one of the shifted deployment does.
 constexpr double overload = 4.2;
-/// What an organisation uses of its limit on a normal_load day.
+/// Load of an organisation on a normal day, relative to its limit.
 constexpr double normal_load = 0.55;
 
 using fault = std::function<void(group_simulation&)>;
@@ -42,8 +42,8 @@
 const fault other_data_centre_is_cut = [](group_simulation& group) {
     group.cut((group.keeper() + 1) % 3, milliseconds{6000});
 };
-/// An organisation that was normal_load sends many times its usual; a second
-/// later a data centre is cut off.
+/// An organisation at normal load begins to send several times its limit; a
+/// second later a data centre is cut off.
 const fault cut_after_load_increase = [](group_simulation& group) {
     group.set_load(overload);
     group.run(seconds(1));
@@ -56,7 +56,7 @@
 };
 const fault group_grows = [](group_simulation& group) { group.add(66); };
 
-/// Plays ten seconds, then the fault and sixteen seconds more.
+/// Simulates ten seconds, then the fault and sixteen more seconds.
 simulation_result simulate(simulation_options options, const fault& happens) {
     group_simulation group(std::move(options));
     group.run(seconds(10));
@@ -65,13 +65,13 @@
     return group.take_result();
 }
 
-/// MINTKNOT_PLAY_SEEDS plays more of them, for figures.
+/// @return the number of seeds; MINTKNOT_PLAY_SEEDS sets it for measurements.
 unsigned seeds() {
     const char* given = std::getenv("MINTKNOT_PLAY_SEEDS");
     return given == nullptr ? 2 : static_cast<unsigned>(std::atoi(given));
 }
 
-/// @return the worst of some seeds.
+/// @return the worst result over all seeds.
 simulation_result simulate_worst(
     const char* what, simulation_options options, const fault& happens) {
     simulation_result result;
@@ -100,7 +100,8 @@
         options.load = load;
         const simulation_result seen = simulate_worst(what, options, happens);
         cr_assert(
-            seen.largest_window <= 1.0, "%s: %.3f of the bound with %zu", what,
+            seen.largest_window <= 1.0,
+            "%s: %.3f of the bound with %zu instances", what,
             seen.largest_window, instances);
     }
 }
@@ -114,8 +115,8 @@
         const simulation_result seen = simulate_worst(what, options, happens);
         cr_assert(
             seen.refused_within_limit <= share_refused,
-            "%s: %.4f refused with %zu", what, seen.refused_within_limit,
-            instances);
+            "%s: %.4f refused with %zu instances", what,
+            seen.refused_within_limit, instances);
     }
 }
 
@@ -145,21 +146,23 @@
 
 Test(usage_bound, holds_when_partition_follows_load_increase) {
     expect_bound(
-        "cut a second behind a rise", cut_after_load_increase, normal_load);
+        "cut 1 s after load increase", cut_after_load_increase, normal_load);
     expect_bound(
-        "keeper's cut a second behind a rise", keeper_cut_after_load_increase,
-        normal_load);
+        "keeper cut off 1 s after load increase",
+        keeper_cut_after_load_increase, normal_load);
 }
 
 Test(usage_bound, holds_when_group_grows) {
-    expect_bound("66 instances more", group_grows);
+    expect_bound("66 instances added", group_grows);
 }
 
 Test(usage_bound, holds_when_datagrams_are_lost) {
     simulation_options options;
     options.load = overload;
     options.loss = 0.05;
-    cr_assert(simulate_worst("5% lost", options, none).largest_window <= 1.0);
+    cr_assert(
+        simulate_worst("5% of requests lost", options, none).largest_window <=
+        1.0);
 }
 
 Test(usage_bound, holds_with_400_instances) {
@@ -182,7 +185,7 @@
 Test(usage_bound, normal_load_is_rarely_refused_under_faults) {
     expect_served("keeper dies for 2 s", keeper_dies, 0.002);
     expect_served("keeper freezes for 4 s", keeper_freezes, 0.002);
-    expect_served("66 instances more", group_grows, 0.002);
+    expect_served("66 instances added", group_grows, 0.002);
 }
 
 Test(usage_bound, load_at_one_instance_is_never_refused) {
@@ -197,22 +200,23 @@
 }
 
 Test(usage_bound, equal_shares_refuse_requests_within_limit) {
-    // The way not taken.
+    // Shows why production does not use equal shares.
     simulation_options options;
     options.load = normal_load;
     options.strategy = limit_strategy::equal_shares;
     cr_assert(
-        simulate_worst("equal parts", options, none).refused_within_limit >
+        simulate_worst("equal shares", options, none).refused_within_limit >
         0.02);
 }
 
 Test(usage_bound, keeper_without_deputies_exceeds_bound) {
-    // The way not taken: a cut data centre lets everything in.
+    // Shows why there are deputies: without them, a data centre that is cut off
+    // grants everything.
     simulation_options options;
     options.load = overload;
     options.strategy = limit_strategy::keeper_only;
     cr_assert(
-        simulate_worst("keeper alone", options, keeper_data_centre_is_cut)
+        simulate_worst("keeper only", options, keeper_data_centre_is_cut)
             .largest_window > 1.0);
 }
 
--- a/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/messages.hpp
+++ b/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/messages.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The datagrams between instances that ask and instances that schedule.
+/// Datagrams between instances that have requests to place and schedulers.
 #ifndef MINTKNOT_SCHEDULING_MESSAGES_HPP
 #define MINTKNOT_SCHEDULING_MESSAGES_HPP
 
@@ -25,29 +25,30 @@
     bool wants_server_rows = false; ///< The sender holds no rows of servers.
 };
 
-/// The answer to it.
+/// Answer to a placement_request.
 struct placement_answer {
     std::uint64_t number = 0;
-    bool knows_service =
-        false; ///< Whether the scheduler knows the service at all.
+    bool knows_service = false; ///< Whether the scheduler knows the service; if
+                                ///< not, `placed` is ignored.
     policy::placement placed;
-    /// What is known of the servers that are named, where it was asked for.
+    /// Rows of the servers in `placed`, if the request asked for them.
     std::vector<traffic::versioned_server> servers;
 };
 
-/// How fast a prefill engine has read, in tokens a millisecond.
+/// Observed rate of a prefill engine, in tokens per millisecond.
 struct observed_rate {
     std::string id;
     double rate = 0.0;
 };
 
-/// All that an instance has in flight in the receiver's domains, and what it
-/// has seen of servers.
+/// All load that an instance has in flight in the receiver's domains, and what
+/// it has observed of servers.
 struct load_report {
     traffic::load_map loads;
     std::vector<policy::server_warning> avoided;
     std::vector<observed_rate> rates; ///< Since the last report.
-    policy::result_map results;       ///< Likewise; older senders have none.
+    policy::result_map
+        results; ///< Since the last report; older senders have none.
 };
 
 using message = std::variant<placement_request, placement_answer, load_report>;
@@ -55,7 +56,7 @@
 /// @return the message in MessagePack.
 std::string encode(const message& value);
 
-/// @return InvalidArgument if the datagram is none of these messages.
+/// @return InvalidArgument if the datagram is not one of these messages.
 absl::StatusOr<message> decode(std::string_view datagram);
 
 } // namespace mintknot::scheduling
--- a/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/remote_placer.hpp
+++ b/libs/mintknotd-platform/scheduling/include/mintknot/scheduling/remote_placer.hpp
@@ -14,42 +14,44 @@
 
 namespace mintknot::scheduling {
 
-/// Times of a placer.
+/// Timing parameters of remote_placer.
 struct placer_options {
-    /// How long a scheduler has for its answer.
+    /// Shortest time to wait for the answer of a scheduler.
     base::milliseconds answer_timeout{30};
-    /// How long a scheduler that has not answered is passed over.
+    /// How long a scheduler that did not answer is skipped.
     base::milliseconds suspect_time{800};
-    base::milliseconds min_report_interval{60}; ///< Between reports of loads.
+    base::milliseconds min_report_interval{
+        60}; ///< Minimum between load reports.
     base::milliseconds max_report_interval{
-        500}; ///< The same while there is load.
+        500}; ///< Maximum while there is load.
 };
 
-/// How the placer reaches other instances.
+/// Callbacks through which remote_placer reaches other instances.
 struct placer_callbacks {
     std::string own_host;
     /// Sends a datagram to the instance on that host.
     std::function<void(const std::string& host, const std::string& datagram)>
         send;
-    /// @return instances that may schedule for a data centre (empty: any),
-    /// this one included.
+    /// @return hosts of instances that may schedule for a data centre (empty:
+    /// any), this one included.
     std::function<std::vector<std::string>(const std::string& data_centre)>
         hosts;
-    /// @return true if the group is large enough for schedulers.
+    /// @return true if the group is large enough to use schedulers.
     std::function<bool()> active;
     /// @return true once this instance knows the rows of servers, and so can
     /// place requests for others; empty: always.
     std::function<bool()> knows_servers{};
 };
 
-/// Each domain of servers has one scheduler, chosen by rendezvous hashing
-/// among the instances that are heard. It knows exactly what it has placed;
-/// the others report to it what has ended, and now and then to who would be
-/// next. Where no scheduler answers, the request is placed here: nothing waits
-/// for an instance that has gone. An instance that holds no rows of servers
-/// cannot do that and asks more of them; answers name it the servers. Nobody
-/// needs to agree on schedulers: two that both believe to be one only place
-/// less evenly.
+/// Each domain of servers has one scheduler, chosen by rendezvous hashing among
+/// the instances whose heartbeats are received. It knows exactly what it has
+/// placed; the other instances report to it what has ended, and less often to
+/// its standby. If no scheduler answers, the request is placed locally, so that
+/// no request waits for an instance that is gone. An instance that holds no
+/// rows of servers cannot place locally: it asks more schedulers, and their
+/// answers contain the rows of the chosen servers. Choosing schedulers needs no
+/// consensus: if two instances both act as scheduler of a domain, load is only
+/// spread less evenly.
 class remote_placer final : public relay::placer {
 public:
     /// The router must outlive the placer.
@@ -64,11 +66,13 @@
     std::unique_ptr<relay::placement_ticket>
     ask(policy::placement_query query, relay::placement_handler then) override;
 
-    /// Own loads have shrunk, or health has changed.
+    /// To be called when load of this instance has ended, or server health has
+    /// changed.
     void loads_changed();
-    /// Own loads have grown. The scheduler that placed the request knows.
+    /// To be called when load was added to this instance. It is not reported at
+    /// once, as the scheduler that placed the request knows it.
     void loads_added();
-    /// Takes a datagram of another instance; malformed ones are ignored.
+    /// Processes a datagram of another instance; malformed ones are ignored.
     void receive(const std::string& host, std::string_view datagram);
 
 private:
--- a/libs/mintknotd-platform/scheduling/src/load_reporter.cpp
+++ b/libs/mintknotd-platform/scheduling/src/load_reporter.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Finds the schedulers of servers; the hosts are hashed once a domain.
+/// Looks up the schedulers of servers, hashing the hosts once per domain.
 class scheduler_cache {
 public:
     scheduler_cache(
@@ -18,7 +18,7 @@
         : context_(context)
         , directory_(directory) {}
 
-    /// @return nobody for a server that is not known.
+    /// @return empty hosts for an unknown server.
     const policy::domain_schedulers& of(const std::string& server_id) const {
         const traffic::server* server =
             traffic::find(context_.state.servers, server_id);
@@ -38,7 +38,7 @@
     const relay::router_context& context_;
     const scheduler_directory& directory_;
     policy::domain_schedulers no_schedulers_;
-    /// Few; references into it stay valid.
+    /// Few entries. A deque, so that references to them stay valid.
     mutable std::deque<std::pair<policy::domain, policy::domain_schedulers>>
         by_domain_;
 };
@@ -102,7 +102,7 @@
 
 load_reporter::pending_report_map load_reporter::collect() {
     pending_report_map reports;
-    // Whoever knows of loads from here learns when there are none left.
+    // Hosts that count load of this instance must learn when none is left.
     for (const auto& [host, urgent] : reported_)
         reports[host].urgent = urgent;
     const scheduler_cache hosts(context_, directory_);
@@ -134,7 +134,7 @@
 void load_reporter::add_observations(pending_report_map& reports) {
     const std::vector<policy::server_warning> warnings =
         policy::own_warnings(context_.state.health, last_sent_at_);
-    // The schedulers of servers that are avoided here are to know it, too.
+    // Schedulers must also learn which of their servers are avoided here.
     const scheduler_cache hosts(context_, directory_);
     for (const policy::server_warning& warning : warnings) {
         const std::string& host = hosts.of(warning.server_id).active;
--- a/libs/mintknotd-platform/scheduling/src/load_reporter.hpp
+++ b/libs/mintknotd-platform/scheduling/src/load_reporter.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Tells schedulers what this instance has in flight in their domains.
+/// Reports to schedulers the load that this instance has in flight in their
+/// domains.
 #ifndef MINTKNOT_SCHEDULING_LOAD_REPORTER_HPP
 #define MINTKNOT_SCHEDULING_LOAD_REPORTER_HPP
 
@@ -12,55 +13,59 @@
 
 namespace mintknot::scheduling {
 
-/// Reports follow the end of a request within the shortest gap, and go on at
-/// the longest one while there is load: each replaces the one before. What a
-/// scheduler has placed it knows: with a report for that too, each plain call
-/// cost its scheduler four datagrams in place of three, some 40 us each, and
-/// 0.12 of a core bears 770 calls a second in place of 1,025 (calculated from
-/// the processor time of 295 instances and their datagrams). The standby of
-/// each scheduler is told at the longest gap only. Without that, whoever took
-/// over from a scheduler that was silent for 140 ms knew of no load there, and
-/// 250 decodes were rejected by full engines within two seconds (295 instances,
-/// a burst of twice the load). Used on the loop's thread; everything it refers
-/// to outlives it.
+/// A report follows the end of a request within min_report_interval, and
+/// reports repeat every max_report_interval while there is load; each replaces
+/// the one before. What a scheduler has placed is not reported at once, as it
+/// knows it: with a report for that too, each plain call cost its scheduler
+/// four datagrams instead of three, about 40 us each, and 0.12 of a core
+/// handled 770 calls per second instead of 1,025 (calculated from the processor
+/// time of 295 instances and their datagrams). The standby of each scheduler
+/// gets a report only every max_report_interval. Without it, an instance that
+/// took over from a scheduler that was silent for 140 ms knew of no load there,
+/// and full engines rejected 250 decodes within two seconds (295 instances, a
+/// burst of twice the load). Used only on the event loop's thread; everything
+/// it refers to must outlive it.
 class load_reporter {
 public:
     load_reporter(
         relay::router_context& context, const placer_callbacks& callbacks,
         const scheduler_directory& directory, const placer_options& options);
 
-    /// Own loads have shrunk, or health has changed.
+    /// To be called when load of this instance has ended, or server health has
+    /// changed.
     void loads_changed();
-    /// Own loads have grown.
+    /// To be called when load was added to this instance.
     void loads_added();
-    /// The host has placed a request, and is to be told when it ends.
+    /// To be called when the host has placed a request, so that its end is
+    /// reported to the host.
     void placed_by(const std::string& host);
-    /// The host counts a request that nobody sends: the next report corrects
-    /// it.
+    /// To be called when the host counts a request that is not sent; schedules
+    /// a report that corrects its count.
     void schedule_correction(const std::string& host);
 
 private:
-    /// What one host is to be told.
+    /// A report to one host.
     struct pending_report {
         load_report report;
-        bool urgent = false; ///< It schedules now.
+        bool urgent = false; ///< Its host is the active scheduler.
     };
     using pending_report_map = std::map<std::string, pending_report>;
 
     void schedule_send(base::steady_time when);
     void send();
-    /// @return own loads, by the hosts that are to know them.
+    /// @return reports of the load of this instance, by destination host.
     pending_report_map collect();
-    /// Adds how calls have ended, for those that schedule the servers.
+    /// Adds the results of calls, for the schedulers of the servers.
     void add_results(pending_report_map& reports);
-    /// Adds what is avoided here and how fast engines were seen to read.
+    /// Adds the servers that are avoided here and the observed prefill rates.
     void add_observations(pending_report_map& reports);
 
     relay::router_context& context_;
     const placer_callbacks& callbacks_;
     const scheduler_directory& directory_;
     placer_options options_;
-    /// Hosts that know of loads from here, and whether they schedule.
+    /// Hosts that count load of this instance, and whether they are active
+    /// schedulers.
     std::map<std::string, bool> reported_;
     base::steady_time last_sent_at_{};
     base::steady_time standbys_last_sent_at_{};
--- a/libs/mintknotd-platform/scheduling/src/messages.cpp
+++ b/libs/mintknotd-platform/scheduling/src/messages.cpp
@@ -10,18 +10,19 @@
 
 using nlohmann::json;
 
-/// First element of a message; heartbeats have 1.
+/// Message type, the first element of each message. Heartbeats use 1.
 constexpr int request_format = 2;
 constexpr int answer_format = 3;
 constexpr int report_format = 4;
-/// Of a report that has results; older instances do not look at it.
+/// Index of the results in a load report that has any; older instances ignore
+/// it.
 constexpr std::size_t results_element = 4;
-/// Elements of newer senders: of a request whose sender holds no rows, or has
-/// open connections, and of the answer to it.
+/// Indexes of elements that newer senders add: to a request if the sender holds
+/// no rows of servers or has open connections, and to its answer.
 constexpr std::size_t wants_server_rows_element = 12;
 constexpr std::size_t connected_element = 13;
 constexpr std::size_t servers_element = 10;
-/// Rates are told in thousandths.
+/// Rates are sent in thousandths.
 constexpr double rate_unit = 1000.0;
 
 std::int64_t whole(double value) {
@@ -92,8 +93,8 @@
     return value;
 }
 
-/// A forecast in milliseconds and thousandths of a token a millisecond; null
-/// where no wait is to be foreseen.
+/// The wait in milliseconds, null if it cannot be forecast, and the release
+/// rate in thousandths of a token per millisecond.
 json to_json(const policy::room_forecast& value) {
     const json wait = value.wait ? json(value.wait->count()) : json(nullptr);
     return {wait, whole(value.release_rate * rate_unit)};
@@ -107,9 +108,9 @@
     return value;
 }
 
-json to_json(const traffic::versioned_server& news) {
-    const traffic::server& server = news.value;
-    return {server.id,         news.version,
+json to_json(const traffic::versioned_server& versioned) {
+    const traffic::server& server = versioned.value;
+    return {server.id,         versioned.version,
             server.service,    server.where.host,
             server.where.port, server.data_centre,
             server.slots,      static_cast<int>(server.phase),
@@ -117,10 +118,10 @@
 }
 
 traffic::versioned_server server_from(const json& row) {
-    traffic::versioned_server news;
-    traffic::server& server = news.value;
+    traffic::versioned_server versioned;
+    traffic::server& server = versioned.value;
     server.id = row.at(0).get<std::string>();
-    news.version = row.at(1).get<std::uint64_t>();
+    versioned.version = row.at(1).get<std::uint64_t>();
     server.service = row.at(2).get<std::string>();
     server.where = {
         row.at(3).get<std::string>(), row.at(4).get<std::uint16_t>()};
@@ -131,7 +132,7 @@
         throw json::other_error::create(501, "unknown phase", &row);
     server.phase = static_cast<traffic::engine_phase>(phase);
     server.born = row.at(8).get<std::uint64_t>();
-    return news;
+    return versioned;
 }
 
 json to_json(const placement_answer& value) {
@@ -149,8 +150,8 @@
     if (value.servers.empty())
         return row;
     json servers = json::array();
-    for (const traffic::versioned_server& news : value.servers)
-        servers.push_back(to_json(news));
+    for (const traffic::versioned_server& versioned : value.servers)
+        servers.push_back(to_json(versioned));
     row.push_back(std::move(servers));
     return row;
 }
@@ -193,7 +194,7 @@
     const policy::result_counts counts{
         entry.at(1).get<int>(), entry.at(2).get<int>(), entry.at(3).get<int>()};
     if (counts.good < 0 || counts.bad < 0 || counts.rejected < 0)
-        throw json::other_error::create(501, "a negative count", &entry);
+        throw json::other_error::create(501, "negative count", &entry);
     return counts;
 }
 
@@ -224,7 +225,7 @@
     const json row =
         json::from_msgpack(datagram.begin(), datagram.end(), true, false);
     if (!row.is_array() || row.empty() || !row[0].is_number_integer())
-        return absl::InvalidArgumentError("no message");
+        return absl::InvalidArgumentError("not a message");
     try {
         switch (row[0].get<int>()) {
         case request_format:
--- a/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
@@ -14,23 +14,24 @@
 
 namespace {
 
-/// Schedulers of one domain that are asked before the choice is made here: each
-/// silent one costs placer_options::answer_timeout.
+/// Number of schedulers of one domain that are asked before a request is placed
+/// locally. Each silent one costs at least placer_options::answer_timeout.
 constexpr int max_tries = 2;
-/// The same where none can be made here.
+/// The same for an instance without rows of servers, which cannot place
+/// locally.
 constexpr int max_tries_without_rows = 4;
 
-/// A request that waits for its servers.
+/// A request that waits for its placement.
 struct pending_placement {
     explicit pending_placement(event::loop& owner)
         : answer_timer(owner) {}
     policy::placement_query query;
     relay::placement_handler then;
-    std::vector<policy::domain>
-        remaining_domains; ///< Domains to be asked, the next one first.
-    policy::room_summary room_seen; ///< In the domains that had no room.
-    std::string asked_host;         ///< The scheduler that is to answer.
-    int tries = 0;                  ///< Within the domain at hand.
+    std::vector<policy::domain> remaining_domains; ///< The current one first.
+    policy::room_summary
+        capacity_seen;      ///< Sum of the domains that had no capacity.
+    std::string asked_host; ///< The scheduler whose answer is awaited.
+    int tries = 0;          ///< In the current domain.
     event::timer answer_timer;
 };
 
@@ -65,7 +66,7 @@
         entry->query = std::move(query);
         entry->then = std::move(then);
         pending.emplace(number, std::move(entry));
-        // The contract: the answer never comes from within ask().
+        // By contract, the handler is never called before this call returns.
         context.loop.post(
             [this, number, alive = std::weak_ptr<bool>(alive_token)] {
                 if (!alive.expired())
@@ -81,7 +82,7 @@
         pending_placement& entry = *found->second;
         if (entry.remaining_domains.empty()) {
             policy::placement placed = place_anywhere(entry.query);
-            placed.room = entry.room_seen;
+            placed.room = entry.capacity_seen;
             finish(number, placed);
             return;
         }
@@ -106,7 +107,7 @@
             policy::patience_for(paces, host, options.answer_timeout);
         entry.answer_timer.start(timeout, [this, number, host] {
             directory.suspect(host);
-            // What it had been told must be told to the next one.
+            // What was reported to it must be reported to the next scheduler.
             reporter.loads_changed();
             ask_next(number);
         });
@@ -123,8 +124,8 @@
         placement_request request{
             number, entry.remaining_domains.front().data_centre, entry.query,
             !holds_rows()};
-        // Plain servers queue: where no data centre has room one takes it
-        // still.
+        // Plain servers queue requests: if no data centre has free capacity,
+        // one of them takes the request all the same.
         const bool last_domain =
             !holds_rows() && entry.remaining_domains.size() == 1;
         if (last_domain &&
@@ -133,7 +134,8 @@
         return request;
     }
 
-    /// Takes what the domain at hand has to offer, or asks the next one.
+    /// Finishes with the placement in the current domain, or moves on to the
+    /// next domain if there is no free capacity.
     void
     apply_placement(std::uint64_t number, const policy::placement& placed) {
         pending_placement& entry = *pending.at(number);
@@ -141,12 +143,12 @@
             finish(number, placed);
             return;
         }
-        entry.room_seen.engines += placed.room.engines;
-        entry.room_seen.avoided += placed.room.avoided;
-        entry.room_seen.max_room =
-            std::max(entry.room_seen.max_room, placed.room.max_room);
-        entry.room_seen.forecast =
-            policy::joined(entry.room_seen.forecast, placed.room.forecast);
+        entry.capacity_seen.engines += placed.room.engines;
+        entry.capacity_seen.avoided += placed.room.avoided;
+        entry.capacity_seen.max_room =
+            std::max(entry.capacity_seen.max_room, placed.room.max_room);
+        entry.capacity_seen.forecast =
+            policy::joined(entry.capacity_seen.forecast, placed.room.forecast);
         entry.remaining_domains.erase(entry.remaining_domains.begin());
         entry.tries = 0;
         ask_next(number);
@@ -159,7 +161,8 @@
         then(placed);
     }
 
-    /// No domain has room. Plain servers queue: one of them takes it still.
+    /// Places a request for which no domain has free capacity. Plain servers
+    /// queue requests, so one of them takes it all the same.
     policy::placement place_anywhere(const policy::placement_query& query) {
         if (query.kind != policy::placement_kind::plain_with_room)
             return {};
--- a/libs/mintknotd-platform/scheduling/src/scheduler_directory.hpp
+++ b/libs/mintknotd-platform/scheduling/src/scheduler_directory.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which instances schedule a domain, as this instance sees it.
+/// Finds the instances that schedule a domain, in the view of this instance.
 #ifndef MINTKNOT_SCHEDULING_SCHEDULER_DIRECTORY_HPP
 #define MINTKNOT_SCHEDULING_SCHEDULER_DIRECTORY_HPP
 
@@ -13,8 +13,8 @@
 
 namespace mintknot::scheduling {
 
-/// Passes over schedulers that have not answered lately. Used on the loop's
-/// thread; the context outlives it.
+/// Skips schedulers that recently did not answer. Used only on the event loop's
+/// thread; everything passed by reference must outlive it.
 class scheduler_directory {
 public:
     scheduler_directory(
@@ -23,10 +23,10 @@
 
     /// @return the scheduler of a domain; empty if there is none.
     std::string find(const policy::domain& which) const;
-    /// @return the same, and who would be next.
+    /// @return the scheduler of a domain and its standby.
     policy::domain_schedulers
     find_with_standby(const policy::domain& which) const;
-    /// The host has not answered in time.
+    /// Skips a host for a while, as it has not answered in time.
     void suspect(const std::string& host);
 
 private:
@@ -36,7 +36,7 @@
     relay::router_context& context_;
     const placer_callbacks& callbacks_;
     base::milliseconds suspect_time_;
-    std::map<std::string, base::steady_time> suspects_; ///< Until when.
+    std::map<std::string, base::steady_time> suspects_; ///< End, by host.
 };
 
 } // namespace mintknot::scheduling
--- a/libs/mintknotd-platform/scheduling/tests/test_remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/tests/test_remote_placer.cpp
@@ -22,7 +22,7 @@
     message value;
 };
 
-/// One placer whose datagrams are kept, among hosts of the test's choice.
+/// A placer that records its datagrams, in a group of the given hosts.
 struct placer_fixture {
     explicit placer_fixture(std::vector<std::string> all_hosts)
         : hosts(std::move(all_hosts))
@@ -58,7 +58,7 @@
             query, [this](const policy::placement& placed) { got = placed; });
     }
 
-    /// Lets the placer answer a request of another instance.
+    /// @return the placer's answer to a request of another instance.
     policy::placement
     answer_to(double memory_tokens, const std::string& data_centre = "a") {
         placement_request request;
@@ -116,7 +116,7 @@
     b.add_engine("d", decode_phase);
     auto ticket = b.ask();
     b.f.run_until([&] { return b.got.has_value(); });
-    cr_assert(b.got->server == "d", "placed here");
+    cr_assert(b.got->server == "d", "placed locally");
     cr_assert(b.sent.size() == 2);
     cr_assert(b.sent[0].host != b.sent[1].host);
     // The next request does not wait for them again.
@@ -152,7 +152,7 @@
     cr_assert(!first.server.empty() && !second.server.empty());
     cr_assert(first.server != second.server);
     cr_assert(b.answer_to(6000.0).server.empty(), "both are full");
-    // A report tells what is left.
+    // A report replaces the load that was counted.
     load_report report;
     report.loads[first.server] = {1, 0.0, 6000.0};
     b.placer.receive("asker", encode(report));
@@ -184,7 +184,7 @@
     const auto& second = std::get<placement_request>(b.sent[1].value);
     cr_assert(second.data_centre == "b");
     b.placer.receive("x", encode(placement_answer{second.number, true, {}}));
-    cr_assert(b.got && b.got->server.empty(), "no room anywhere");
+    cr_assert(b.got && b.got->server.empty(), "no capacity anywhere");
 }
 
 Test(remote_placer, locally_avoided_servers_are_excluded) {
@@ -202,7 +202,7 @@
 
 namespace {
 
-/// Hosts that got a report of loads, one for each report.
+/// @return the destination host of each load report.
 std::vector<std::string> reported_to(const placer_fixture& b) {
     std::vector<std::string> hosts;
     for (const sent_message& message : b.sent)
@@ -290,7 +290,7 @@
 
 namespace {
 
-/// @return an answer that names an engine, as one who holds rows gives it.
+/// @return an answer that contains the row of an engine.
 std::string
 answer_with_server(const sent_message& asked, const std::string& id) {
     placement_answer answer{number_of(asked), true, {id, "", 0}};
