--- /dev/null
+++ b/libs/mintknotd-platform/crashes/src/crash_detector.hpp
@@ -0,0 +1,91 @@
+/// @file
+/// Detects servers that end while they run requests of this instance.
+#ifndef MINTKNOT_CRASHES_ENDED_SERVERS_HPP
+#define MINTKNOT_CRASHES_ENDED_SERVERS_HPP
+
+#include "crash_messages.hpp"
+#include "liveness_check.hpp"
+
+#include <mintknot/relay/health_prober.hpp>
+#include <mintknot/relay/router_state.hpp>
+
+#include <functional>
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
+
+namespace mintknot::crashes {
+
+/// Collects the calls that broke at a server, checks once for all of them
+/// whether it is still alive, and reports them if it is not. A server that
+/// answers may already have been restarted; replaced() then reports the end.
+///
+/// Used only on the event loop's thread. The router and everything that the
+/// callbacks refer to must outlive it.
+class crash_detector {
+public:
+    /// @param health_check_for see crash_watch_callbacks::health_check_for.
+    /// @param on_ended called when a server has ended, and again with calls
+    /// that broke a little later. Its first argument combines the ID of the
+    /// server and its incarnation.
+    crash_detector(
+        relay::router_context& router,
+        std::function<std::optional<relay::health_check>(const std::string& id)>
+            health_check_for,
+        std::function<
+            void(const std::string& incarnation, std::vector<broken_run> runs)>
+            on_ended);
+
+    void
+    report_broken_call(const broken_run& run, const traffic::server& server);
+    /// To be called when the row of a server was removed or shows a new
+    /// incarnation.
+    void replaced(const std::string& id);
+    /// @return the number of servers that have ended since the start.
+    std::size_t count() const noexcept { return count_; }
+
+private:
+    /// A run and the time when it broke.
+    struct timestamped_run {
+        broken_run run;
+        base::steady_time at;
+    };
+
+    /// A server at which calls broke.
+    struct tracked_server {
+        std::string incarnation;
+        std::vector<timestamped_run> runs; ///< Not reported yet.
+        /// Runs that broke although the server answered a moment later.
+        std::vector<timestamped_run> unconfirmed_runs;
+        std::unique_ptr<liveness_check> check;
+        bool check_planned = false;
+        /// For the next check, or for the removal of the entry.
+        std::unique_ptr<event::timer> timer;
+        std::optional<base::steady_time> alive_at;
+        std::optional<base::steady_time> ended_at;
+    };
+
+    void check(const std::string& id);
+    void on_verdict(const std::string& id, liveness_verdict found);
+    void on_server_ended(const std::string& id, tracked_server& tracked);
+    void report_runs(tracked_server& tracked);
+    void schedule_removal(
+        const std::string& id, tracked_server& tracked,
+        base::milliseconds time);
+
+    relay::router_context& router_;
+    std::function<std::optional<relay::health_check>(const std::string& id)>
+        health_check_for_;
+    std::function<void(
+        const std::string& incarnation, std::vector<broken_run> runs)>
+        on_ended_;
+    std::map<std::string, tracked_server> servers_; ///< By ID.
+    std::size_t count_ = 0;
+    std::shared_ptr<bool> alive_token_ = std::make_shared<bool>(true);
+};
+
+} // namespace mintknot::crashes
+
+#endif
--- a/libs/mintknotd-platform/crashes/src/crash_messages.cpp
+++ b/libs/mintknotd-platform/crashes/src/crash_messages.cpp
@@ -10,11 +10,12 @@
 
 using nlohmann::json;
 
-/// First element of a message; those below belong to other libraries.
+/// Message type, the first element of each message. Smaller numbers belong to
+/// other libraries.
 constexpr int report_format = 16;
 constexpr int block_format = 17;
 constexpr int clear_format = 18;
-/// As the JSON library numbers its own errors of this kind.
+/// The ID that the JSON library gives its own errors of this kind.
 constexpr int error_number = 501;
 
 [[noreturn]] void malformed(const char* what, const json& value) {
@@ -30,7 +31,7 @@
 base::milliseconds time_from(const json& value) {
     const auto count = value.get<std::int64_t>();
     if (count < 0)
-        malformed("a negative time", value);
+        malformed("negative time", value);
     return base::milliseconds(count);
 }
 
@@ -44,10 +45,10 @@
         runs.push_back(
             {run.key.digest, run.key.body_bytes, run.ran_for.count(),
              run.ago.count()});
-    return {report_format, value.server_life, runs};
+    return {report_format, value.server_incarnation, runs};
 }
 
-json to_json(const block_notice& value) {
+json to_json(const block_announcement& value) {
     json blocks = json::array();
     for (const policy::block_news& block : value.blocks)
         blocks.push_back(
@@ -56,21 +57,21 @@
     return {block_format, blocks};
 }
 
-json to_json(const clear_notice& value) {
+json to_json(const clear_announcement& value) {
     return {clear_format, value.digest};
 }
 
 crash_report report_from(const json& row) {
     crash_report value;
-    value.server_life = row.at(1).get<std::string>();
+    value.server_incarnation = row.at(1).get<std::string>();
     for (const json& run : bounded(row.at(2)))
         value.runs.push_back(
             {key_from(run), time_from(run.at(2)), time_from(run.at(3))});
     return value;
 }
 
-block_notice blocks_from(const json& row) {
-    block_notice value;
+block_announcement blocks_from(const json& row) {
+    block_announcement value;
     for (const json& block : bounded(row.at(1)))
         value.blocks.push_back(
             {key_from(block), time_from(block.at(2)),
@@ -85,12 +86,13 @@
     case block_format:
         return blocks_from(row);
     default:
-        return clear_notice{row.at(1).get<std::string>()};
+        return clear_announcement{row.at(1).get<std::string>()};
     }
 }
 
-/// The first element is a small number right behind the array's own byte: most
-/// datagrams are placements, and not to be parsed twice.
+/// Checks the message type, a small number right after the array's header byte,
+/// without parsing: most datagrams are placements, which would otherwise be
+/// parsed twice.
 bool may_be_about_crashes(std::string_view datagram) {
     return datagram.size() >= 2 && datagram[1] >= report_format &&
            datagram[1] <= clear_format;
@@ -107,11 +109,11 @@
 
 absl::StatusOr<crash_message> decode_crash_message(std::string_view datagram) {
     if (!may_be_about_crashes(datagram))
-        return absl::InvalidArgumentError("no message about crashes");
+        return absl::InvalidArgumentError("not a crash message");
     const json row =
         json::from_msgpack(datagram.begin(), datagram.end(), true, false);
     if (!row.is_array() || row.empty() || !row[0].is_number_integer())
-        return absl::InvalidArgumentError("no message about crashes");
+        return absl::InvalidArgumentError("not a crash message");
     try {
         return message_from(row);
     } catch (const json::exception&) {
--- /dev/null
+++ b/libs/mintknotd-platform/crashes/src/liveness_check.hpp
@@ -0,0 +1,54 @@
+/// @file
+/// Checks whether a server has ended or only a connection to it was lost.
+#ifndef MINTKNOT_CRASHES_END_CHECK_HPP
+#define MINTKNOT_CRASHES_END_CHECK_HPP
+
+#include <mintknot/event/loop.hpp>
+#include <mintknot/upstream/call.hpp>
+
+#include <functional>
+#include <memory>
+
+namespace mintknot::crashes {
+
+/// Result of a liveness check.
+enum class liveness_verdict {
+    alive,  ///< The server has answered, whatever the status.
+    ended,  ///< Twice the connection was refused or closed without an answer.
+    unknown ///< No answer in time, or unreachable: the network may be down.
+};
+
+/// Makes a call on a new connection and, if it fails, a second one a moment
+/// later, as a server with too many connections refuses some. Used only on the
+/// event loop's thread; destroying it cancels the check.
+class liveness_check {
+public:
+    liveness_check(
+        event::loop& owner, upstream::connection_pool& pool,
+        upstream::target server);
+
+    /// @param request any request that a live server answers at once.
+    /// @param then called once, never from within start(); it may destroy the
+    /// check.
+    void start(
+        http1::request_head request,
+        std::function<void(liveness_verdict)> then);
+
+private:
+    void start_call();
+    void on_failure(upstream::call_failure why);
+    void finish(liveness_verdict found);
+
+    event::loop& owner_;
+    upstream::connection_pool& pool_;
+    upstream::target server_;
+    http1::request_head request_;
+    std::function<void(liveness_verdict)> then_;
+    event::timer timer_;
+    std::unique_ptr<upstream::call> call_;
+    int failures_ = 0;
+};
+
+} // namespace mintknot::crashes
+
+#endif
--- a/libs/mintknotd-platform/limits/src/group_tracker.cpp
+++ b/libs/mintknotd-platform/limits/src/group_tracker.cpp
@@ -4,7 +4,7 @@
 
 namespace mintknot::limits {
 
-policy::group_view group_tracker::look(
+policy::group_view group_tracker::update(
     const std::vector<group_peer>& heard, const std::string& data_centre,
     base::steady_time now) {
     policy::group_view view;
@@ -24,7 +24,7 @@
     std::erase_if(last_heard_, [now](const auto& item) {
         return now - item.second > policy::silent_keeper_life;
     });
-    // This instance is heard, but not among the others.
+    // `view.heard` counts this instance, `last_heard_` does not contain it.
     view.silent = last_heard_.size() - (view.heard - 1);
     view.uptime =
         std::chrono::duration_cast<base::milliseconds>(now - started_);
--- a/libs/mintknotd-platform/limits/src/usage_messages.cpp
+++ b/libs/mintknotd-platform/limits/src/usage_messages.cpp
@@ -11,28 +11,28 @@
 
 using nlohmann::json;
 
-/// First element of a message; heartbeats have 1, placements 2 to 4, loans 5
-/// and 6, demand reports 7.
-constexpr int question_format = 8;
+/// Message type, the first element of each message. Heartbeats use 1,
+/// placements 2 to 4, loans 5 and 6, demand reports 7.
+constexpr int request_format = 8;
 constexpr int answer_format = 9;
-constexpr int return_format = 10;
+constexpr int refund_format = 10;
 constexpr int charge_format = 11;
 
-json to_json(const usage_question& value) {
+json to_json(const usage_request& value) {
     return {
-        question_format, value.number, value.organisation,
+        request_format, value.number, value.organisation,
         std::llround(value.cost), static_cast<int>(value.account)};
 }
 
 json to_json(const usage_answer& value) {
     return {
         answer_format, value.number, static_cast<int>(value.verdict),
-        value.come_back.count()};
+        value.retry_after.count()};
 }
 
-json to_json(const usage_return& value) {
+json to_json(const usage_refund& value) {
     return {
-        return_format, value.number, value.organisation,
+        refund_format, value.number, value.organisation,
         std::llround(value.cost), static_cast<int>(value.account)};
 }
 
@@ -48,11 +48,11 @@
     return static_cast<Enum>(number);
 }
 
-/// A negative cost would let a question fill an account.
+/// Rejects negative costs, with which a request would fill an account.
 double cost_from(const json& value) {
     const auto cost = value.get<std::int64_t>();
     if (cost < 0)
-        throw json::other_error::create(501, "a negative cost", &value);
+        throw json::other_error::create(501, "negative cost", &value);
     return static_cast<double>(cost);
 }
 
@@ -69,7 +69,7 @@
     usage_answer value;
     value.number = row.at(1).get<std::uint64_t>();
     value.verdict = enumerator(row.at(2), usage_verdict::refused);
-    value.come_back = base::milliseconds(row.at(3).get<std::int64_t>());
+    value.retry_after = base::milliseconds(row.at(3).get<std::int64_t>());
     return value;
 }
 
@@ -77,21 +77,22 @@
     return {row.at(1).get<std::string>(), cost_from(row.at(2))};
 }
 
-/// The first element is a small number right behind the array's own byte: most
-/// datagrams are of other kinds, and not to be parsed twice.
-bool may_be_usage(std::string_view datagram) {
-    return datagram.size() >= 2 && datagram[1] >= question_format &&
+/// Checks the message type, a small number right after the array's header byte,
+/// without parsing: most datagrams are of other types and would otherwise be
+/// parsed twice.
+bool may_be_usage_message(std::string_view datagram) {
+    return datagram.size() >= 2 && datagram[1] >= request_format &&
            datagram[1] <= charge_format;
 }
 
 usage_message message_from(const json& row) {
     switch (row.at(0).get<int>()) {
-    case question_format:
-        return account_message_from<usage_question>(row);
+    case request_format:
+        return account_message_from<usage_request>(row);
     case answer_format:
         return answer_from(row);
-    case return_format:
-        return account_message_from<usage_return>(row);
+    case refund_format:
+        return account_message_from<usage_refund>(row);
     case charge_format:
         return charge_from(row);
     default:
@@ -109,8 +110,8 @@
 }
 
 absl::StatusOr<usage_message> decode_usage(std::string_view datagram) {
-    if (!may_be_usage(datagram))
-        return absl::InvalidArgumentError("no message about usage");
+    if (!may_be_usage_message(datagram))
+        return absl::InvalidArgumentError("not a usage message");
     const json row =
         json::from_msgpack(datagram.begin(), datagram.end(), true, false);
     try {
--- a/libs/mintknotd-platform/limits/src/usage_messages.hpp
+++ b/libs/mintknotd-platform/limits/src/usage_messages.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The datagrams by which instances ask each other for parts of a limit.
+/// Datagrams by which instances request parts of a limit from each other.
 #ifndef MINTKNOT_LIMITS_USAGE_MESSAGES_HPP
 #define MINTKNOT_LIMITS_USAGE_MESSAGES_HPP
 
@@ -14,15 +14,15 @@
 
 namespace mintknot::limits {
 
-/// Which account of an organisation, by how much of the limit it gives out.
+/// Account of an organisation, by the part of the limit that it grants.
 enum class account_kind {
     keeper, ///< For all instances.
-    deputy, ///< For those of one data centre, while the keeper is silent.
-    own     ///< For the instance itself, while both are.
+    deputy, ///< For one data centre, while the keeper is silent.
+    own     ///< For the instance itself, while keeper and deputy are silent.
 };
 
-/// Asks to draw from an account.
-struct usage_question {
+/// Asks to draw a cost from an account.
+struct usage_request {
     std::uint64_t number = 0; ///< The answer repeats it.
     std::string organisation;
     double cost = 0.0;
@@ -38,30 +38,31 @@
 struct usage_answer {
     std::uint64_t number = 0;
     usage_verdict verdict = usage_verdict::unknown;
-    base::milliseconds come_back{0}; ///< If refused.
+    base::milliseconds retry_after{0}; ///< If refused.
 };
 
-/// Returns what was granted to the question of that number.
-struct usage_return {
+/// Refunds what was granted to the request with this number.
+struct usage_refund {
     std::uint64_t number = 0;
     std::string organisation;
     double cost = 0.0;
     account_kind account = account_kind::keeper;
 };
 
-/// Tells the keeper what has been granted while it did not answer.
+/// Charges the keeper's account for what was granted while the keeper did not
+/// answer.
 struct usage_charge {
     std::string organisation;
     double cost = 0.0;
 };
 
 using usage_message =
-    std::variant<usage_question, usage_answer, usage_return, usage_charge>;
+    std::variant<usage_request, usage_answer, usage_refund, usage_charge>;
 
 /// @return the message in MessagePack.
 std::string encode(const usage_message& value);
 
-/// @return InvalidArgument if the datagram is none of these messages.
+/// @return InvalidArgument if the datagram is not one of these messages.
 absl::StatusOr<usage_message> decode_usage(std::string_view datagram);
 
 } // namespace mintknot::limits
