--- a/libs/mintknotd-platform/crashes/src/ended_servers.cpp
+++ b/libs/mintknotd-platform/crashes/src/ended_servers.cpp
@@ -70,7 +70,7 @@
     at.check =
         std::make_unique<end_check>(router_.loop, router_.pool, wanted->server);
     at.check->start(
-        router_.protocol.health(wanted->path, id),
+        router_.protocol.health_request(wanted->path, id),
         [this, id](end_verdict found) {
             // The check is running: let it go afterwards.
             router_.loop.post(
--- a/libs/mintknotd-platform/crashes/tests/test_crash_watch.cpp
+++ b/libs/mintknotd-platform/crashes/tests/test_crash_watch.cpp
@@ -57,7 +57,7 @@
         traffic::engine_phase phase, script good) {
         scripted_server& server = add_server(id, service, phase, {});
         server.behaviour = [this, &server, good = std::move(good)](
-                               const received& to,
+                               const received_request& to,
                                const event::connection_ptr& link) {
             if (!to.head.target.ends_with("/crash")) {
                 good(to, link);
@@ -93,7 +93,7 @@
 };
 
 script ok() {
-    return [](const received& to, const event::connection_ptr& link) {
+    return [](const received_request& to, const event::connection_ptr& link) {
         link->write(answer_to(to, "ok"));
     };
 }
@@ -139,7 +139,7 @@
 
 Test(crash_watch, a_lost_connection_to_a_living_server_blocks_nothing) {
     watched_router f;
-    const script resetting = [](const received& to,
+    const script resetting = [](const received_request& to,
                                 const event::connection_ptr& link) {
         if (to.head.target == "/health")
             link->write(answer_to(to, "ok"));
@@ -234,7 +234,7 @@
     f.add_mortal("d1", "llm", decode, good_decode());
     f.add_server(
         "p1", "llm", prefill,
-        [&](const received& to, const event::connection_ptr& link) {
+        [&](const received_request& to, const event::connection_ptr& link) {
             const auto digest = relay::request_digest("", to.head, to.body);
             f.watch.receive(
                 "judge", encode(block_notice{
--- a/libs/mintknotd-platform/crashes/tests/test_end_check.cpp
+++ b/libs/mintknotd-platform/crashes/tests/test_end_check.cpp
@@ -17,9 +17,9 @@
     const traffic::server* server = traffic::find(f.context.state.servers, id);
     end_check checking(f.owner, f.pool, {id, server->where});
     std::optional<end_verdict> found;
-    checking.start(f.protocol.health("/health", id), [&](end_verdict verdict) {
-        found = verdict;
-    });
+    checking.start(
+        f.protocol.health_request("/health", id),
+        [&](end_verdict verdict) { found = verdict; });
     f.run_until([&] { return found.has_value(); });
     return *found;
 }
@@ -32,7 +32,7 @@
     relay_fixture f;
     f.add_server(
         "s", "app", plain,
-        [](const received& to, const event::connection_ptr& link) {
+        [](const received_request& to, const event::connection_ptr& link) {
             link->write(answer_to(to, "busy", 503));
         });
     cr_assert(check(f, "s") == end_verdict::alive);
@@ -49,7 +49,7 @@
     int calls = 0;
     f.add_server(
         "s", "app", plain,
-        [&](const received& to, const event::connection_ptr& link) {
+        [&](const received_request& to, const event::connection_ptr& link) {
             if (++calls == 1)
                 link->reset();
             else
@@ -63,6 +63,6 @@
     relay_fixture f;
     f.add_server(
         "s", "app", plain,
-        [](const received&, const event::connection_ptr&) {});
+        [](const received_request&, const event::connection_ptr&) {});
     cr_assert(check(f, "s") == end_verdict::unknown);
 }
--- a/libs/mintknotd-platform/orders/src/demand_sharing.cpp
+++ b/libs/mintknotd-platform/orders/src/demand_sharing.cpp
@@ -44,7 +44,7 @@
         return false;
     const base::steady_time now = router_.loop.now();
     std::erase_if(router_.state.demands_of_peers, [now](const auto& item) {
-        return now - item.second.heard > relay::peer_demand_life;
+        return now - item.second.received_at > relay::peer_demand_lifetime;
     });
     router_.state.demands_of_peers[host] = {*std::move(demands), now};
     return true;
--- a/libs/mintknotd-platform/orders/src/order_batch.cpp
+++ b/libs/mintknotd-platform/orders/src/order_batch.cpp
@@ -46,7 +46,7 @@
 
 void order_batch::ask_report(engine_order& order) {
     call(
-        order, {router_.protocol.report(order.change.server_id), {}},
+        order, {router_.protocol.report_request(order.change.server_id), {}},
         [this, &order] { on_report(order); });
 }
 
@@ -55,7 +55,7 @@
                             ? router_.protocol.read_report(order.body)
                             : std::nullopt;
     if (report && report->leaving)
-        relay::take_notice(
+        relay::apply_server_notice(
             router_, order.change.server_id, {true, std::nullopt});
     if (!report || report->leaving || report->busy ||
         report->phase == order.change.to || !terms_.may_order())
@@ -69,7 +69,7 @@
     const relay::phase_order wanted{
         order.change.to, terms_.holder, terms_.fence, orders_taken};
     call(
-        order, router_.protocol.order(wanted, order.change.server_id),
+        order, router_.protocol.order_call(wanted, order.change.server_id),
         [this, &order] { on_ordered(order); });
 }
 
--- a/libs/mintknotd-platform/orders/src/phase_balancer.cpp
+++ b/libs/mintknotd-platform/orders/src/phase_balancer.cpp
@@ -199,8 +199,8 @@
             policy::note_change(
                 context.state.health, change.server_id,
                 now() + options.change_time);
-        if (context.state.on_order)
-            context.state.on_order();
+        if (context.state.on_phase_order)
+            context.state.on_phase_order();
     }
 
     void begin_orders(
--- a/libs/mintknotd-platform/orders/tests/test_demand_sharing.cpp
+++ b/libs/mintknotd-platform/orders/tests/test_demand_sharing.cpp
@@ -67,7 +67,7 @@
         policy::prefill_seconds(sum), policy::prefill_seconds(own), 1e-6);
     const policy::phase_demand later = relay::group_demand(
         reader.f.context.state, "llm",
-        now + relay::peer_demand_life + base::milliseconds(1));
+        now + relay::peer_demand_lifetime + base::milliseconds(1));
     cr_assert_float_eq(later.requests, own.requests, 1e-6);
 }
 
--- a/libs/mintknotd-platform/orders/tests/test_phase_balancer.cpp
+++ b/libs/mintknotd-platform/orders/tests/test_phase_balancer.cpp
@@ -71,14 +71,16 @@
             base::milliseconds(20)};
     }
     script engine() {
-        return [this](const received& to, const event::connection_ptr& link) {
-            if (to.head.target == "/report") {
-                link->write(answer_to(to, "taken 3"));
-                return;
-            }
-            orders.push_back(to.body);
-            link->write(answer_to(to, "", order_status));
-        };
+        return
+            [this](
+                const received_request& to, const event::connection_ptr& link) {
+                if (to.head.target == "/report") {
+                    link->write(answer_to(to, "taken 3"));
+                    return;
+                }
+                orders.push_back(to.body);
+                link->write(answer_to(to, "", order_status));
+            };
     }
     std::unique_ptr<phase_balancer> start() {
         auto balancer = std::make_unique<phase_balancer>(
@@ -140,7 +142,7 @@
     bool suspended = false;
     for (scripted_server* engine : f.engines)
         engine->behaviour = [&, usual = engine->behaviour](
-                                const received& to,
+                                const received_request& to,
                                 const event::connection_ptr& link) {
             if (to.head.target == "/report" && !suspended) {
                 suspended = true;
@@ -157,7 +159,7 @@
 
 Test(phase_balancer, an_engine_whose_report_says_that_it_leaves_is_not_used) {
     fixture f;
-    const script leaving = [](const received& to,
+    const script leaving = [](const received_request& to,
                               const event::connection_ptr& link) {
         link->write(answer_to(to, "taken 3 leaving"));
     };
@@ -207,7 +209,8 @@
 
 Test(phase_balancer, an_engine_that_says_nothing_does_not_hold_up_the_others) {
     fixture f;
-    const script mute = [](const received&, const event::connection_ptr&) {};
+    const script mute = [](const received_request&,
+                           const event::connection_ptr&) {};
     f.relay.add_server("mute", "llm", prefill, mute);
     for (int i = 0; i < 41; ++i)
         f.engines.push_back(&f.relay.add_server(
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/entry_server.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/entry_server.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The address that callers connect to.
+/// The HTTP server that callers connect to.
 #ifndef MINTKNOT_RELAY_ENTRY_SERVER_HPP
 #define MINTKNOT_RELAY_ENTRY_SERVER_HPP
 
@@ -13,9 +13,11 @@
 
 namespace mintknot::relay {
 
-/// Accepts callers, reads their requests and runs an exchange for each.
+/// Accepts connections of callers, reads their requests and runs an exchange
+/// for each request.
 ///
-/// Lifetime: the router must outlive the server; close() first.
+/// The router_context must outlive the server. Call close() before destroying
+/// the server.
 class entry_server {
 public:
     explicit entry_server(router_context& context);
@@ -26,14 +28,15 @@
     absl::Status open(const base::address& where);
     std::uint16_t port() const;
 
-    /// From now on every answer closes its connection, and no request is
-    /// begun that cannot end within the grace.
+    /// Starts a graceful shutdown: each answer closes its connection, and
+    /// requests that cannot finish within the grace period are refused.
     void begin_drain(base::milliseconds grace);
-    /// Closes connections on which no request is open.
+    /// Closes the connections on which no request is being read or answered.
     void close_idle();
-    /// @return requests that are being read or answered.
-    std::size_t busy() const;
+    /// @return the number of requests that are being read or answered.
+    std::size_t active_requests() const;
     std::size_t connections() const;
+    /// Stops accepting connections.
     void close();
 
 private:
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/exchange.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/exchange.hpp
@@ -20,7 +20,7 @@
 struct caller_request {
     http1::request_head head;
     std::shared_ptr<const std::string> body;
-    request_terms terms;
+    request_metadata terms;
     base::steady_time arrived;
     /// Whose request it is, in the configuration that it was routed by; null:
     /// nobody's.
@@ -118,8 +118,8 @@
     bool belongs(const http1::response_head& head) const;
 
     std::string organisation_name() const; ///< Empty: nobody's.
-    call_terms terms_for(const traffic::server& server) const;
-    upstream::call_request call_for(const call_terms& terms) const;
+    call_parameters terms_for(const traffic::server& server) const;
+    upstream::call_request call_for(const call_parameters& terms) const;
 
     router_context& context_;
     answer_sink& sink_;
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/health_prober.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/health_prober.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Health checks of servers that are avoided.
+/// Health checks of servers that are excluded from selection after failures.
 #ifndef MINTKNOT_RELAY_HEALTH_PROBER_HPP
 #define MINTKNOT_RELAY_HEALTH_PROBER_HPP
 
@@ -15,21 +15,23 @@
 
 namespace mintknot::relay {
 
-/// What is to be checked, and when at the earliest.
+/// A health check to be made.
 struct health_check {
     upstream::target server;
     std::string path;
-    base::steady_time due;
-    base::steady_time not_before{}; ///< The server rests until then.
+    base::steady_time due; ///< End of the time for which the server is avoided.
+    /// The server rests until then: it has asked to be sent no requests.
+    base::steady_time not_before{};
 };
 
-/// Checks a server at the end of the time for which it is avoided, so that no
-/// caller's request has to find out whether it is back. Servers in use are
-/// never checked: requests tell of them.
+/// Checks a server shortly before the end of the time for which it is avoided,
+/// so that no caller's request is spent on a server that is still down. Servers
+/// in use are not checked: the results of requests show their health.
 class health_prober {
 public:
-    /// @param find_check what to check of a server; nothing if it has gone.
-    /// @param on_result told of every check.
+    /// @param find_check returns the check for a server ID; nullopt if the
+    /// server no longer exists.
+    /// @param on_result called with the result of each check.
     health_prober(
         event::loop& owner, upstream::connection_pool& pool,
         const dialect& protocol, logging::line_log& log,
@@ -38,15 +40,16 @@
         std::function<void(const std::string&, bool passed)> on_result);
     ~health_prober();
 
-    /// Checks the server until it passes or has gone.
+    /// Checks the server repeatedly until a check passes or it no longer
+    /// exists.
     void watch(const std::string& server_id);
 
 private:
     struct state;
 
-    void plan(const std::string& id);
-    void check(const std::string& id);
-    void finish(const std::string& id, bool passed);
+    void schedule_check(const std::string& id);
+    void run_check(const std::string& id);
+    void finish_check(const std::string& id, bool passed);
 
     event::loop& owner_;
     upstream::connection_pool& pool_;
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/local_server.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/local_server.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A small HTTP server for readiness, metrics and peers.
+/// A small HTTP server for readiness checks, metrics and requests of peers.
 #ifndef MINTKNOT_RELAY_LOCAL_SERVER_HPP
 #define MINTKNOT_RELAY_LOCAL_SERVER_HPP
 
@@ -16,19 +16,20 @@
 
 namespace mintknot::relay {
 
-/// The answer to a small request.
+/// The complete answer to a request.
 struct local_answer {
     int status = 200;
     std::string content_type = "text/plain";
     std::string body;
 };
 
-/// Sends the answer to one request, now or later; only the first call counts.
-/// It may be kept after the caller or the server has gone.
+/// Sends the answer to one request, immediately or later; calls after the first
+/// have no effect. It is safe to call after the connection or the server is
+/// gone.
 using local_reply = std::function<void(const local_answer&)>;
 
-/// Answers requests from a function. Requests with large bodies and more than
-/// a few connections are turned away.
+/// Answers each request with the result of a handler function. Rejects requests
+/// with large heads or bodies, and connections above a fixed number.
 class local_server {
 public:
     using handler =
@@ -41,6 +42,7 @@
 
     absl::Status open(const base::address& where);
     std::uint16_t port() const;
+    /// Stops accepting connections.
     void close();
 
 private:
@@ -48,9 +50,9 @@
     std::shared_ptr<impl> impl_;
 };
 
-/// @return a handler for a function that knows its answers at once.
-local_server::handler
-at_once(std::function<local_answer(const http1::request_head&)> answer);
+/// @return a handler that replies with the return value of the function.
+local_server::handler synchronous_handler(
+    std::function<local_answer(const http1::request_head&)> answer);
 
 } // namespace mintknot::relay
 
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/relay_metrics.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/relay_metrics.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Counters and latency histograms of the traffic of one instance.
+/// Counters and latency histograms of one instance's traffic.
 #ifndef MINTKNOT_RELAY_RELAY_METRICS_HPP
 #define MINTKNOT_RELAY_RELAY_METRICS_HPP
 
@@ -12,7 +12,7 @@
 
 namespace mintknot::relay {
 
-/// A request that has been answered or given up.
+/// A request that has been answered or abandoned.
 struct finished_request {
     std::string route;
     std::string outcome; ///< "answered", or the code of a refusal.
@@ -20,7 +20,8 @@
     base::milliseconds total{0};
 };
 
-/// Label sets are bounded: routes beyond the bound count as "other".
+/// Metrics of one instance, exported in the Prometheus text format. The number
+/// of route labels is bounded; further routes are counted under "other".
 class relay_metrics {
 public:
     relay_metrics();
@@ -30,12 +31,13 @@
 
     void count_request(const finished_request& request);
     void count_call(policy::call_result result);
-    void count_repeat(std::string_view reason);
-    /// How old the view of the servers was when a request was sent to one.
-    void observe_servers_age(base::milliseconds age);
+    void count_retry(std::string_view reason);
+    /// Records how old the server table was when a request was sent to a
+    /// server.
+    void observe_server_table_age(base::milliseconds age);
     void set_gauge(std::string_view name, double value);
 
-    /// @return the text format of Prometheus.
+    /// @return all metrics in the Prometheus text format.
     std::string text() const;
 
 private:
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/request_digest.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/request_digest.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What tells whether two requests are the same one under two IDs.
+/// A digest that identifies retries of a request that carry different IDs.
 #ifndef MINTKNOT_RELAY_REQUEST_DIGEST_HPP
 #define MINTKNOT_RELAY_REQUEST_DIGEST_HPP
 
@@ -10,9 +10,11 @@
 
 namespace mintknot::relay {
 
-/// @return 32 hexadecimal digits for whose request it is, its method, host,
-/// target and body; other fields may differ from try to try. Nobody can make a
-/// request that has the digest of another's.
+/// Computes a collision-resistant digest, so that no organisation can craft a
+/// request with the digest of another's. Other header fields are left out,
+/// because they may differ between retries.
+/// @return 32 hexadecimal digits over the organisation, the method, the host,
+/// the target and the body.
 std::string request_digest(
     std::string_view organisation, const http1::request_head& head,
     std::string_view body);
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Everything that the requests of one instance share.
+/// State and services that all requests of one instance share.
 #ifndef MINTKNOT_RELAY_ROUTER_STATE_HPP
 #define MINTKNOT_RELAY_ROUTER_STATE_HPP
 
@@ -40,82 +40,87 @@
 /// Settings of the relay.
 struct relay_options {
     std::string data_centre;
-    std::size_t max_callers = 1500; ///< Open connections of callers.
-    std::size_t max_body_bytes = 24 * 1024 * 1024; ///< Of all open requests.
-    /// See policy::knowledge.
+    std::size_t max_callers = 1500; ///< Maximum number of open connections.
+    std::size_t max_body_bytes = 24 * 1024 * 1024; ///< Over all requests.
+    /// See policy::configuration_freshness.
     std::optional<base::milliseconds> revocation_bound;
-    /// See policy::named_life().
-    base::milliseconds named_server_life{300};
+    /// See policy::named_server_lifetime().
+    base::milliseconds named_server_lifetime{300};
 };
 
-/// What a peer has last told of its retries. What an earlier life of it, or
-/// one that is silent now, has spent counts until the window has passed.
+/// The retries that a peer last reported. Retries of an earlier incarnation, or
+/// of a peer that no longer reports, count until the retry window has passed.
 struct peer_usage {
     policy::usage_map by_service;
-    base::steady_time heard;
+    base::steady_time received_at;
 };
 
-/// By host and incarnation.
+/// Keyed by host and incarnation.
 using peer_usages = std::map<std::pair<std::string, std::uint64_t>, peer_usage>;
 
-/// Tokens that a peer's requests wait for, by service.
+/// Memory, in tokens, that requests queued at a peer wait for, by service.
 struct peer_waiting {
     std::map<std::string, double> by_service;
-    base::steady_time heard;
+    base::steady_time received_at;
 };
 
-/// What the requests of a peer have taken of engines, by service.
+/// The engine time that a peer's requests have used, by service.
 struct peer_demand {
     std::unordered_map<std::string, policy::phase_demand> by_service;
-    base::steady_time heard;
+    base::steady_time received_at;
 };
 
-/// What is believed at present. Changed only on the loop's thread.
+/// The instance's current view of servers, peers and its own requests. Modified
+/// only on the event loop's thread.
 struct router_state {
-    std::shared_ptr<const traffic::configuration> config; ///< Null at first.
-    /// The last moment at which nothing newer than `config` is known to have
-    /// existed; nothing: there was none yet.
+    std::shared_ptr<const traffic::configuration>
+        config; ///< Null until loaded.
+    /// The last time at which `config` was confirmed to be the newest version;
+    /// nullopt if it never was.
     std::optional<base::steady_time> configuration_confirmed;
     traffic::server_table servers;
-    /// The same of the servers; nothing as well where schedulers name them.
-    std::optional<base::steady_time> servers_confirmed;
+    /// The last time at which `servers` was confirmed to be up to date; nullopt
+    /// if it never was or if schedulers provide the servers.
+    std::optional<base::steady_time> server_table_confirmed;
     traffic::load_view loads;
     policy::health_view health;
-    policy::read_rates rates;
+    policy::read_rates prefill_rates;
     std::unordered_map<std::string, policy::phase_demand> demands;
     std::unordered_map<std::string, peer_demand> demands_of_peers; ///< By host.
-    std::unordered_map<std::string, policy::retry_allowance> allowances;
+    std::unordered_map<std::string, policy::retry_allowance> retry_allowances;
     policy::retry_bounds retry_bounds;
     peer_usages retries_of_peers;
-    std::size_t instances = 1;   ///< How many instances there may be.
-    base::steady_time started{}; ///< Of this instance.
+    std::size_t instances = 1;   ///< Upper bound for the number of instances.
+    base::steady_time started{}; ///< When this instance started.
     std::size_t open_requests = 0;
     std::size_t open_body_bytes = 0;
     bool stopping = false;
-    base::steady_time stop_began{}; ///< With `stopping`.
-    base::milliseconds grace{8000}; ///< From then on.
+    base::steady_time stop_began{}; ///< Valid if `stopping`.
+    base::milliseconds grace{8000}; ///< Grace period, from `stop_began`.
     std::unordered_map<std::string, policy::longest_deadline>
         deadlines; ///< By route.
     std::unordered_map<std::string, policy::return_schedule>
-        returns; ///< By service.
+        retry_after_schedules; ///< By service.
     std::unordered_map<std::string, peer_waiting>
         waiting_of_peers; ///< By host.
-    /// Called when own loads have shrunk, or health has changed.
+    /// Called when the load of this instance has decreased or the health of a
+    /// server has changed.
     std::function<void()> on_load_change;
-    /// Called when own loads have grown.
+    /// Called when the load of this instance has increased.
     std::function<void()> on_load_added;
-    /// Called when so many more repeats of a service may soon be needed here.
-    std::function<void(const std::string& service, int repeats)> on_repeats_low;
-    /// Servers whose malformed limit has been logged.
+    /// Called when this instance may soon need that many more retries for a
+    /// service than its allowance holds.
+    std::function<void(const std::string& service, int repeats)> on_retries_low;
+    /// Servers for which a malformed limit has already been logged.
     std::set<std::string> malformed_limits;
-    /// Called when an answer of a server contains a limit.
+    /// Called when an answer of a server contains a rate limit.
     std::function<void()> on_limit_received;
-    /// Called when an engine is about to be ordered to change its phase.
-    std::function<void()> on_order;
+    /// Called before an engine is ordered to change its phase.
+    std::function<void()> on_phase_order;
 };
 
-/// What every request of an instance works with. References outlive all
-/// requests.
+/// The services and state that every request of an instance uses. The
+/// referenced objects must outlive all requests.
 struct router_context {
     event::loop& loop;
     upstream::connection_pool& pool;
@@ -126,97 +131,110 @@
     health_prober& prober;
     relay_options options;
     router_state state{};
-    placer* placement = nullptr;     ///< Null: every request is placed here.
-    usage_limiter* limits = nullptr; ///< Null: no organisation is limited.
-    crash_guard* crashes = nullptr;  ///< Null: no request is suspected.
+    placer* placement = nullptr;     ///< Null: requests are placed locally.
+    usage_limiter* limits = nullptr; ///< Null: no usage limits apply.
+    crash_guard* crashes = nullptr;  ///< Null: no request is blocked.
     wait_queue queue{loop};
     std::minstd_rand random{std::random_device{}()};
 
-    double draw() {
+    /// @return a random number in [0, 1).
+    double draw_uniform() {
         return std::uniform_real_distribution<double>(0.0, 1.0)(random);
     }
 };
 
-/// @return how old the configuration in force may be.
-policy::knowledge knowledge_of(const router_context& context);
+/// @return the age of the current configuration and the age that it may have.
+policy::knowledge configuration_freshness_of(const router_context& context);
 
-/// @return for how long a server may have been leaving without this instance
-/// knowing it; nothing: it cannot be told.
-std::optional<base::milliseconds> servers_age(const router_context& context);
+/// @return the age of the server table: how long a server may already have been
+/// leaving without this instance knowing it; nullopt if the age is unknown.
+std::optional<base::milliseconds>
+server_table_age(const router_context& context);
 
-/// @return the same for a log line; negative: it cannot be told.
-std::int64_t servers_age_ms(const router_context& context);
+/// @return the age of the server table for a log line; negative if unknown.
+std::int64_t server_table_age_ms(const router_context& context);
 
-/// Adds work in flight at a server, and tells peers of it.
+/// Adds load in flight at a server, and triggers a report to the peers.
 void add_load(
     router_context& context, const std::string& server_id,
     const traffic::server_load& load);
+/// Removes load in flight at a server, triggers a report to the peers and
+/// notifies the wait queue that capacity is free.
 void remove_load(
     router_context& context, const std::string& server_id,
     const traffic::server_load& load);
 
-/// Takes the result of a call; logs when a server is avoided from now on.
-void note_result(
+/// Records the result of a call. If the server is now to be avoided, logs this
+/// and starts its health checks.
+void note_call_result(
     router_context& context, const std::string& server_id,
     policy::call_result result, const std::string& request_id);
 
-/// Takes what a peer tells of its retries, and forgets what is long past.
-void note_retries(
+/// Records the retries that a peer reports, and discards reports older than the
+/// retry window.
+void note_peer_retries(
     router_state& state, const std::string& peer, std::uint64_t incarnation,
     const policy::usage_map& usage, base::steady_time now);
 
-/// @return what peers have used of a service's retry bound.
+/// @return what the peers have used of a service's retry bound.
 policy::fleet_usage fleet_usage_of(
     const router_state& state, const std::string& service,
     base::steady_time now);
 
-/// Takes what the requests of a peer wait for, and forgets silent peers.
-void note_waiting(
+/// Records the tokens that a peer's queued requests wait for, and discards the
+/// records of peers that no longer report.
+void note_peer_waiting(
     router_state& state, const std::string& peer,
     const std::map<std::string, double>& tokens, base::steady_time now);
 
-/// @return the tokens that requests at other instances wait for and that are
-/// expected to be given out before those of a request here.
-double tokens_ahead_elsewhere(
+/// @return the tokens for requests queued at other instances that are expected
+/// to be allocated before those for a request that is queued here.
+double peer_tokens_ahead(
     const router_state& state, const std::string& service,
     base::steady_time now);
 
-/// How long the demand that a peer has told counts: some of the periods at
-/// which it is told.
-inline constexpr base::milliseconds peer_demand_life{10000};
+/// How long the demand that a peer has reported counts: several reporting
+/// periods.
+inline constexpr base::milliseconds peer_demand_lifetime{10000};
 
-/// @return what requests here and at the peers that have told of it have taken
-/// of the engines of a service.
+/// @return the engine time of a service that the requests of this instance and
+/// of the peers with a recent report have used.
 policy::phase_demand group_demand(
     const router_state& state, const std::string& service,
     base::steady_time now);
 
-/// @return when a refused caller may come back if all servers of the service,
-/// apart from prefill engines, are at their limits or rest; empty otherwise.
+/// @return the Retry-After of a refusal if all servers of the service, apart
+/// from prefill engines, are at their rate limits or rest (server_notice),
+/// and at least one has a rate limit; nullopt otherwise.
 std::optional<base::milliseconds>
-limited_return_time(router_context& context, const std::string& service);
+limited_retry_after(router_context& context, const std::string& service);
 
-/// @return when a caller may come back that found no server within reach
-/// (policy/return_time.hpp), or none that accepts requests now.
+/// @return the Retry-After of a refusal because no server of the service is
+/// reachable, or none accepts requests at present.
 base::milliseconds
-return_after_outage(router_context& context, const std::string& service);
+outage_retry_after(router_context& context, const std::string& service);
 
-/// @return what a decision about a repeat looks at.
+/// @return the inputs for the decision whether a request may be sent again.
 policy::spend_terms
 spend_terms_for(const router_context& context, const std::string& service);
 
-/// @return true if one more send for the service is within the allowance.
-bool spend_repeat(router_context& context, const std::string& service);
+/// Spends one retry of the service's allowance, and requests more from the
+/// peers if few are left.
+/// @return true if the retry is within the allowance.
+bool spend_retry(router_context& context, const std::string& service);
 
-/// Places a request: here and at once, or by asking. @return the question, or
-/// null where `then` has been called already.
+/// Chooses a server for a request: locally, or by asking the placer.
+/// @param then called with the placement; for a local choice before the
+/// function returns.
+/// @return the pending query, or null if `then` has already been called.
 std::unique_ptr<placement_ticket> place_request(
     router_context& context, const traffic::service& target,
     policy::placement_query query, const placement_handler& then);
 
-/// @return the inputs of a selection, valid while the router is not changed.
+/// @return the inputs of a server selection. They refer to the state of the
+/// router and are valid until it changes.
 policy::selection_inputs
-selection_for(router_context& context, const traffic::service& target);
+make_selection_inputs(router_context& context, const traffic::service& target);
 
 } // namespace mintknot::relay
 
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/server_notices.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/server_notices.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What servers say of themselves in their answers.
+/// Handling of what servers say about their own state in their answers.
 #ifndef MINTKNOT_RELAY_SERVER_NOTICES_HPP
 #define MINTKNOT_RELAY_SERVER_NOTICES_HPP
 
@@ -9,26 +9,27 @@
 
 namespace mintknot::relay {
 
-/// From now on every answer on a connection of the pool is looked at, whatever
-/// was asked: runs, prompts, refusals, checks, orders, reports. A server's own
-/// word stands beside its row, which may come much later. The router outlives
-/// its pool's calls. Log events: `server_leaving`, `server_rests`,
-/// `server_limited`, `server_limit_ended`, `server_limit_unreadable`.
-void follow_server_notices(router_context& context);
+/// Starts to evaluate the notices in every answer on a connection of the pool:
+/// answers to requests, prefill calls, health checks, orders and reports, and
+/// refusals. Notices are kept beside the server's row in the server table,
+/// which may be updated much later. The context must outlive the calls of its
+/// pool. Log events: `server_leaving`, `server_rests`, `server_limited`,
+/// `server_limit_ended`, `server_limit_unreadable`.
+void observe_server_notices(router_context& context);
 
-/// Takes what a server has said.
-void take_notice(
+/// Updates the router's state with a notice from a server.
+void apply_server_notice(
     router_context& context, const std::string& server_id,
     const server_notice& notice);
 
-/// Logs a change of a limit.
-/// @param told_by host of the peer that reported it; empty if this instance
-/// received the server's answer.
+/// Logs the change of a server's rate limit.
+/// @param reported_by host of the peer that reported the limit; empty if this
+/// instance received it in an answer of the server.
 void log_limit(
     router_context& context, const std::string& server_id,
-    const std::string& told_by);
+    const std::string& reported_by);
 
-/// @return true if the server may get a request of this instance now.
+/// @return true if this instance may send a request to the server now.
 bool may_send_to(const router_context& context, const traffic::server& server);
 
 } // namespace mintknot::relay
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/wait_queue.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/wait_queue.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Requests that wait for room, in the order in which they get it.
+/// The queue of requests that wait for free capacity of servers.
 #ifndef MINTKNOT_RELAY_WAIT_QUEUE_HPP
 #define MINTKNOT_RELAY_WAIT_QUEUE_HPP
 
@@ -14,11 +14,11 @@
 
 namespace mintknot::relay {
 
-/// Wakes the requests that wait at this instance, best rank first, when room
-/// may have been set free. Used on the loop's thread only.
+/// Wakes the requests that wait at this instance, best rank first, when
+/// capacity may have been freed. Used only on the event loop's thread.
 class wait_queue {
 public:
-    /// Keeps a place in the queue; the place goes with it.
+    /// Holds a place in the queue; destroying it gives the place up.
     class ticket {
     public:
         virtual ~ticket() = default;
@@ -29,24 +29,26 @@
     wait_queue(const wait_queue&) = delete;
     wait_queue& operator=(const wait_queue&) = delete;
 
-    /// Joins the queue of a service.
-    /// @param tokens of memory that the request needs.
-    /// @param try_again called once, from the loop; the place is given up then.
+    /// Adds a request to the queue of a service.
+    /// @param tokens memory that the request needs, in tokens.
+    /// @param try_again called at most once, from the event loop; the request
+    /// has left the queue by then.
     std::unique_ptr<ticket> join(
         const std::string& service, const policy::queue_rank& rank,
         double tokens, std::function<void()> try_again);
 
-    /// Room may have been set free somewhere: wakes the queue shortly.
-    void room_freed();
-    /// Wakes the queue no more often than that from now on: where each try is a
-    /// message to another instance.
-    void slow_down(base::milliseconds min_wake_gap);
+    /// Called when capacity may have been freed; wakes the queue soon.
+    void notify_capacity_freed();
+    /// Sets the minimum time between two wake-ups of the queue. Used where each
+    /// attempt sends a message to another instance.
+    void set_min_wake_interval(base::milliseconds min_wake_gap);
 
-    /// @return the tokens that requests of a better rank wait for.
+    /// @return the tokens that requests of a better rank in the service's queue
+    /// wait for.
     double tokens_ahead(
         const std::string& service, const policy::queue_rank& rank) const;
-    /// @return the tokens that all wait for, by service.
-    std::map<std::string, double> waiting() const;
+    /// @return the tokens that all queued requests wait for, by service.
+    std::map<std::string, double> waiting_tokens() const;
 
 private:
     struct impl;
--- a/libs/mintknotd-platform/relay/src/caller_session.cpp
+++ b/libs/mintknotd-platform/relay/src/caller_session.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The part of a caller's connection that reads requests.
+/// Reading of requests from a caller's connection.
 
 #include "caller_session.hpp"
 
@@ -9,10 +9,11 @@
 
 namespace {
 
-/// Bytes behind the request at hand that are kept; more wait in the system.
+/// Maximum number of buffered bytes after the current request. Beyond it the
+/// socket is not read, so that further bytes stay in the kernel.
 constexpr std::size_t max_pending_bytes = 64 * 1024;
-/// How long a body may take beyond the time for its head.
-constexpr base::milliseconds body_time{20000};
+/// Time allowed for a body, in addition to the time for the head.
+constexpr base::milliseconds body_timeout{20000};
 
 } // namespace
 
@@ -61,7 +62,7 @@
 
 void caller_session::arm_idle_timer() {
     idle_since_ = context_.loop.now();
-    // A little longer than what callers rely on.
+    // Slightly longer than the idle timeout that callers rely on.
     const base::milliseconds time = limits().idle_timeout * 11 / 10;
     timer_.start(time, [this] { close(); });
 }
@@ -69,7 +70,7 @@
 void caller_session::arm_request_timer() {
     timer_.start(limits().header_timeout, [this] {
         if (head_seen_) {
-            timer_.start(body_time, [this] {
+            timer_.start(body_timeout, [this] {
                 refuse(408, "body_too_slow", std::nullopt);
             });
             return;
@@ -82,7 +83,7 @@
     if (closed_)
         return;
     if (idle()) {
-        began_ = context_.loop.now();
+        request_began_ = context_.loop.now();
         arm_request_timer();
     }
     pending_.append(bytes);
@@ -91,10 +92,10 @@
             link_->pause_reading();
         return;
     }
-    read_on();
+    parse_pending();
 }
 
-void caller_session::read_on() {
+void caller_session::parse_pending() {
     while (!closed_ && !answering_ && !pending_.empty()) {
         const std::size_t used =
             parser_->put(pending_, [this](std::string_view piece) {
@@ -174,16 +175,16 @@
     caller_request request;
     request.head = std::move(parser_->head());
     request.terms = context_.protocol.read_request(request.head);
-    request.arrived = began_;
+    request.arrived = request_began_;
     const auto config = context_.state.config;
     const std::string* host = http1::find_field(request.head.fields, "Host");
     const policy::entry_decision decision = policy::check_entry(
         entry_conditions(config.get()),
         {host == nullptr ? std::string_view{} : *host, request.head.target,
          request.terms.key},
-        context_.draw());
+        context_.draw_uniform());
     if (decision.service == nullptr) {
-        refuse_whole(request, decision);
+        refuse_request(request, decision);
         return;
     }
     if (!body_.empty())
@@ -206,11 +207,11 @@
     conditions.grace = context_.state.grace;
     conditions.open_body_bytes = context_.state.open_body_bytes;
     conditions.max_body_bytes = context_.options.max_body_bytes;
-    conditions.known = knowledge_of(context_);
+    conditions.known = configuration_freshness_of(context_);
     return conditions;
 }
 
-void caller_session::refuse_whole(
+void caller_session::refuse_request(
     const caller_request& request, const policy::entry_decision& decision) {
     context_.log.write(
         "refused", {{"request", request.terms.id},
@@ -234,7 +235,7 @@
         close();
         return;
     }
-    // The exchange is on the stack: let it go afterwards.
+    // The exchange is still on the call stack, so it is destroyed later.
     context_.loop.post([self = shared_from_this()] {
         self->exchange_.reset();
         if (self->closed_)
@@ -242,11 +243,11 @@
         self->answering_ = false;
         self->next_request();
         if (!self->pending_.empty()) {
-            self->began_ = self->context_.loop.now();
+            self->request_began_ = self->context_.loop.now();
             self->arm_request_timer();
         }
         self->link_->resume_reading();
-        self->read_on();
+        self->parse_pending();
     });
 }
 
--- a/libs/mintknotd-platform/relay/src/caller_session.hpp
+++ b/libs/mintknotd-platform/relay/src/caller_session.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One connection of a caller.
+/// One caller's connection.
 #ifndef MINTKNOT_RELAY_CALLER_SESSION_HPP
 #define MINTKNOT_RELAY_CALLER_SESSION_HPP
 
@@ -14,8 +14,9 @@
 
 namespace mintknot::relay {
 
-/// Reads one request after another, strictly in turn. The connection is
-/// always read, so that a caller's leaving is noticed at once.
+/// Reads requests from a connection and answers them strictly in order. Reading
+/// continues while a request is answered, so that a disconnect of the caller is
+/// noticed immediately.
 class caller_session final
     : public answer_sink,
       public std::enable_shared_from_this<caller_session> {
@@ -26,10 +27,11 @@
     ~caller_session() override;
 
     void start();
-    /// @return true if no byte of a request is being dealt with.
+    /// @return true if no part of a request is being read or answered.
     bool idle() const noexcept;
     bool closed() const noexcept { return closed_; }
-    /// @return when its last answer was whole, or it was accepted.
+    /// @return when the last answer was completed or, before the first answer,
+    /// when the connection was accepted.
     base::steady_time idle_since() const noexcept { return idle_since_; }
     void close();
 
@@ -43,10 +45,10 @@
 private:
     void on_data(std::string_view bytes);
     void on_end();
-    void read_on();
+    void parse_pending();
     void on_head();
     void on_request();
-    /// Answers without an exchange and closes the connection.
+    /// Answers without an exchange, then closes the connection.
     void refuse(
         int status, std::string_view reason,
         std::optional<base::milliseconds> retry_after);
@@ -60,9 +62,9 @@
     bool keep_alive() const;
     policy::entry_conditions
     entry_conditions(const traffic::configuration* config) const;
-    /// Answers a request that has been read whole without an exchange; the
-    /// connection stays open.
-    void refuse_whole(
+    /// Answers a completely read request without an exchange; the connection
+    /// stays open if keep_alive().
+    void refuse_request(
         const caller_request& request, const policy::entry_decision& decision);
     traffic::caller_limits limits() const;
 
@@ -70,14 +72,14 @@
     event::connection_ptr link_;
     std::function<void(caller_session*)> on_end_;
     std::unique_ptr<http1::request_parser> parser_;
-    std::string pending_; ///< Received, not yet parsed.
+    std::string pending_; ///< Received but not yet parsed.
     std::string body_;
     bool head_seen_ = false;
-    bool answering_ = false; ///< A whole request is being dealt with.
+    bool answering_ = false; ///< A complete request is being answered.
     bool request_keep_alive_ = true;
     int minor_version_ = 1;
     std::size_t reserved_body_ = 0;
-    base::steady_time began_;
+    base::steady_time request_began_;
     base::steady_time idle_since_;
     std::unique_ptr<exchange> exchange_;
     http1::framing framing_ = http1::framing::none;
--- a/libs/mintknotd-platform/relay/src/caller_session_answer.cpp
+++ b/libs/mintknotd-platform/relay/src/caller_session_answer.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The part of a caller's connection that writes answers.
+/// Writing of answers to a caller's connection.
 
 #include "caller_session.hpp"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Unsent bytes of an answer above which its server is no longer read.
+/// Number of unsent bytes above which reading from the server pauses.
 constexpr std::size_t congested_bytes = 128 * 1024;
 
 } // namespace
@@ -57,8 +57,8 @@
         return;
     closed_ = true;
     timer_.stop();
-    // Where only the end of the connection would end the body, it must not
-    // look orderly.
+    // If the body is delimited by the end of the connection, an orderly close
+    // would make it look complete.
     if (framing_ == http1::framing::close)
         link_->reset();
     else
--- a/libs/mintknotd-platform/relay/src/entry_server.cpp
+++ b/libs/mintknotd-platform/relay/src/entry_server.cpp
@@ -16,7 +16,8 @@
     void accept(event::connection_ptr link) {
         if (sessions.size() >= context.options.max_callers &&
             !close_longest_idle()) {
-            // Closed unread: the caller knows that nothing has run.
+            // Closed without reading, so the caller can tell that no request
+            // has run.
             link->abort();
             context.log.write("caller_turned_away", {{"reason", "too_many"}});
             return;
@@ -28,8 +29,9 @@
         session->start();
     }
 
-    /// A caller that waits now goes before one that may come back.
-    /// @return false if no caller is idle.
+    /// Makes room for a new connection, whose caller is waiting, by closing the
+    /// one that has been idle longest.
+    /// @return false if no connection is idle.
     bool close_longest_idle() {
         std::shared_ptr<caller_session> longest;
         for (const auto& [key, session] : sessions)
@@ -79,7 +81,7 @@
         session->close();
 }
 
-std::size_t entry_server::busy() const {
+std::size_t entry_server::active_requests() const {
     std::size_t count = 0;
     for (const auto& [key, session] : impl_->sessions)
         count += session->idle() ? 0 : 1;
--- a/libs/mintknotd-platform/relay/src/exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/exchange.cpp
@@ -67,8 +67,8 @@
 
 void exchange::start() {
     policy::earn(
-        context_.state.allowances[service_.name], context_.state.retry_bounds,
-        context_.loop.now());
+        context_.state.retry_allowances[service_.name],
+        context_.state.retry_bounds, context_.loop.now());
     if (request_.terms.deadline)
         policy::note_deadline(
             context_.state.deadlines[route_.name], *request_.terms.deadline,
@@ -84,11 +84,11 @@
 }
 
 void exchange::ask_for_usage() {
-    const request_terms& terms = request_.terms;
+    const request_metadata& terms = request_.terms;
     const double tokens = terms.prompt_tokens + terms.max_output_tokens;
     const double cost = policy::usage_cost(
         request_.organisation->limit,
-        terms.tells_tokens ? std::optional(tokens) : std::nullopt);
+        terms.declares_tokens ? std::optional(tokens) : std::nullopt);
     usage_ticket_ = context_.limits->ask(
         *request_.organisation, cost,
         [this](const usage_grant& told) { on_usage(told); });
@@ -135,7 +135,7 @@
     const traffic::configuration& now = *context_.state.config;
     const policy::access_decision found = policy::check_access(
         now.organisations.get(), route_.open_to_all, request_.terms.key,
-        knowledge_of(context_));
+        configuration_freshness_of(context_));
     if (found.what == policy::access_verdict::old_knowledge) {
         refuse(
             status_unavailable, "old_knowledge",
@@ -250,8 +250,8 @@
 void exchange::note_offer() {
     if (!first_offer_)
         first_offer_ = since_arrival();
-    if (const auto age = servers_age(context_))
-        context_.metrics.observe_servers_age(*age);
+    if (const auto age = server_table_age(context_))
+        context_.metrics.observe_server_table_age(*age);
 }
 
 bool exchange::returned() const {
@@ -325,7 +325,7 @@
 }
 
 bool exchange::belongs(const http1::response_head& head) const {
-    const answer_terms terms = context_.protocol.read_answer(head);
+    const answer_metadata terms = context_.protocol.read_answer(head);
     return terms.request_id == request_.terms.id ||
            (terms.request_id.empty() && terms.not_executed);
 }
@@ -335,17 +335,19 @@
                                             : request_.organisation->name;
 }
 
-call_terms exchange::terms_for(const traffic::server& server) const {
-    call_terms terms;
+call_parameters exchange::terms_for(const traffic::server& server) const {
+    call_parameters terms;
     terms.server_id = server.id;
     terms.time_left = time_left();
-    terms.hides_key = config_->organisations != nullptr;
+    terms.strip_key = config_->organisations != nullptr;
     terms.organisation = organisation_name();
     return terms;
 }
 
-upstream::call_request exchange::call_for(const call_terms& terms) const {
-    return {context_.protocol.outgoing(request_.head, terms), request_.body};
+upstream::call_request exchange::call_for(const call_parameters& terms) const {
+    return {
+        context_.protocol.forwarded_request(request_.head, terms),
+        request_.body};
 }
 
 std::unique_ptr<exchange> make_exchange(
--- a/libs/mintknotd-platform/relay/src/generation_decode.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_decode.cpp
@@ -59,7 +59,7 @@
 bool generation_exchange::name_has_lapsed() const {
     return context_.state.servers.partial &&
            context_.loop.now() - decode_.placed >
-               context_.options.named_server_life;
+               context_.options.named_server_lifetime;
 }
 
 void generation_exchange::log_decode() const {
@@ -71,13 +71,13 @@
                    {"with_result", decode_.used_result},
                    {"placed_by", placed_by_},
                    {"send", std::int64_t{sends_}},
-                   {"servers_age_ms", servers_age_ms(context_)},
+                   {"servers_age_ms", server_table_age_ms(context_)},
                    {"config", static_cast<std::int64_t>(config_->version)},
                    {"after_ms", since_arrival().count()}});
 }
 
 void generation_exchange::send_decode(const traffic::server& engine) {
-    call_terms terms = terms_for(engine);
+    call_parameters terms = terms_for(engine);
     terms.resume_after = last_event_;
     if (decode_.used_result)
         terms.prefill_result = kept_.place;
@@ -184,7 +184,7 @@
     // Whatever follows the last event belongs to the body all the same.
     pass_on(decode_.splitter.rest);
     decode_.splitter.rest.clear();
-    note_result(
+    note_call_result(
         context_, decode_.server, policy::call_result::good, request_.terms.id);
     note_whole_answer();
     note_demand();
--- a/libs/mintknotd-platform/relay/src/generation_decode_end.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_decode_end.cpp
@@ -12,7 +12,7 @@
 void generation_exchange::after_rejected_decode() {
     --attempts_.runs;
     ++attempts_.rejections;
-    note_result(
+    note_call_result(
         context_, decode_.server,
         decode_.answer.status == status_misdirected
             ? policy::call_result::misdirected
@@ -27,7 +27,7 @@
     const policy::next_step step = policy::after_decode_call(
         policy::call_end::rejected, route_, attempts_);
     if (step.what == policy::action::send_again) {
-        context_.metrics.count_repeat(step.reason);
+        context_.metrics.count_retry(step.reason);
         if (policy::distrusts_result(attempts_))
             drop_result();
     }
@@ -68,7 +68,7 @@
     // Silence alone does not end an answer: the engine is left only where the
     // request may go on elsewhere, within the allowance.
     if (step.what == policy::action::keep_waiting || !prepay(1)) {
-        note_result(
+        note_call_result(
             context_, decode_.server, policy::call_result::silent,
             request_.terms.id);
         return;
@@ -81,7 +81,7 @@
 
 void generation_exchange::after_decode(
     policy::call_end end, policy::call_result result) {
-    note_result(context_, decode_.server, result, request_.terms.id);
+    note_call_result(context_, decode_.server, result, request_.terms.id);
     release_decode();
     take(policy::after_decode_call(end, route_, attempts_));
 }
@@ -121,7 +121,7 @@
          {"reason", reason},
          {"last_event", static_cast<std::int64_t>(last_event_.value_or(0))},
          {"after_ms", since_arrival().count()}});
-    context_.metrics.count_repeat(reason);
+    context_.metrics.count_retry(reason);
     prefill_.tried.clear();
     place();
 }
--- a/libs/mintknotd-platform/relay/src/generation_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_exchange.cpp
@@ -48,7 +48,7 @@
 }
 
 double generation_exchange::memory_needed() const {
-    const request_terms& terms = request_.terms;
+    const request_metadata& terms = request_.terms;
     return policy::memory_needed(
         {terms.prompt_tokens, terms.max_output_tokens,
          terms.expected_output_tokens});
@@ -125,7 +125,7 @@
 
 bool generation_exchange::prepay(int repeats) {
     while (charges_.prepaid < repeats) {
-        if (!spend_repeat(context_, service_.name))
+        if (!spend_retry(context_, service_.name))
             return false;
         ++charges_.prepaid;
     }
@@ -155,7 +155,7 @@
         wait_timer_.start(policy::unreachable_pause, [this] { place(); });
         return;
     }
-    give_up("server_unreachable", return_after_outage(context_, service_.name));
+    give_up("server_unreachable", outage_retry_after(context_, service_.name));
 }
 
 policy::unplaced_request generation_exchange::describe_unplaced() const {
@@ -178,8 +178,7 @@
     const policy::room_forecast& forecast) const {
     const double ahead =
         context_.queue.tokens_ahead(service_.name, rank(false)) +
-        tokens_ahead_elsewhere(
-            context_.state, service_.name, context_.loop.now());
+        peer_tokens_ahead(context_.state, service_.name, context_.loop.now());
     return policy::wait_behind(forecast, ahead);
 }
 
@@ -191,10 +190,10 @@
 base::milliseconds generation_exchange::return_time(
     const policy::room_forecast& forecast,
     std::optional<base::milliseconds> expected) {
-    if (const auto limited = limited_return_time(context_, service_.name))
+    if (const auto limited = limited_retry_after(context_, service_.name))
         return *limited;
     return policy::schedule_return(
-        context_.state.returns[service_.name],
+        context_.state.retry_after_schedules[service_.name],
         {forecast, expected, memory_needed(), context_.state.instances},
         context_.loop.now());
 }
--- a/libs/mintknotd-platform/relay/src/generation_exchange.hpp
+++ b/libs/mintknotd-platform/relay/src/generation_exchange.hpp
@@ -31,7 +31,7 @@
         std::string server; ///< Empty: none is under way.
         std::string body;
         int status = 0;
-        answer_terms terms;
+        answer_metadata terms;
         base::steady_time started;
         base::milliseconds expected{0};
         double tokens_ahead = 0.0; ///< That were to be read before.
@@ -54,7 +54,7 @@
         base::steady_time placed;
         base::steady_time started;
         http1::response_head answer;
-        answer_terms terms;
+        answer_metadata terms;
         std::string failure_body;
         bool streaming = false;   ///< The answer at hand is the stream.
         bool used_result = false; ///< It began from a kept result.
--- a/libs/mintknotd-platform/relay/src/generation_prefill.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_prefill.cpp
@@ -18,8 +18,8 @@
     const traffic::server& engine, double ahead) {
     const double tokens = request_.terms.prompt_tokens;
     prefill_.tokens_ahead = ahead;
-    prefill_.expected =
-        policy::read_time(context_.state.rates, engine.id, ahead + tokens);
+    prefill_.expected = policy::read_time(
+        context_.state.prefill_rates, engine.id, ahead + tokens);
     prefill_.server = engine.id;
     prefill_.tried.insert(engine.id);
     prefill_.started = context_.loop.now();
@@ -29,7 +29,7 @@
     note_offer();
     add_load(context_, prefill_.server, {1, tokens, 0.0});
     log_prefill();
-    call_terms terms = terms_for(engine);
+    call_parameters terms = terms_for(engine);
     terms.stage = call_stage::prefill;
     kept_ = {};
     kept_.place = base::to_string(engine.where);
@@ -61,7 +61,7 @@
                     {"tokens", request_.terms.prompt_tokens},
                     {"expected_ms", prefill_.expected.count()},
                     {"try", std::int64_t{attempts_.prefills}},
-                    {"servers_age_ms", servers_age_ms(context_)},
+                    {"servers_age_ms", server_table_age_ms(context_)},
                     {"config", static_cast<std::int64_t>(config_->version)}});
 }
 
@@ -92,7 +92,7 @@
     }
     note_read_time(std::chrono::duration_cast<base::milliseconds>(
         context_.loop.now() - prefill_.started));
-    note_result(
+    note_call_result(
         context_, prefill_.server, policy::call_result::good,
         request_.terms.id);
     policy::note_prefill_end(charges_, policy::call_result::good);
@@ -104,8 +104,8 @@
 void generation_exchange::note_read_time(base::milliseconds took) {
     const double tokens = request_.terms.prompt_tokens;
     policy::note_read(
-        context_.state.rates, prefill_.server, tokens + prefill_.tokens_ahead,
-        took);
+        context_.state.prefill_rates, prefill_.server,
+        tokens + prefill_.tokens_ahead, took);
     if (prefill_.tokens_ahead <= 0.0)
         policy::note_read_alone(
             context_.state.demands[service_.name], tokens, took);
@@ -114,7 +114,7 @@
 void generation_exchange::keep_result(const prefill_result& result) {
     kept_.server = prefill_.server;
     kept_.handle = result.handle;
-    kept_.place = context_.protocol.result_place(kept_.place, result.handle);
+    kept_.place = context_.protocol.result_location(kept_.place, result.handle);
     kept_.until =
         context_.loop.now() + policy::usable_life(service_.engine->handle_life);
 }
@@ -135,7 +135,7 @@
 
 void generation_exchange::after_failed_prefill(
     policy::call_result result, std::string_view reason) {
-    note_result(context_, prefill_.server, result, request_.terms.id);
+    note_call_result(context_, prefill_.server, result, request_.terms.id);
     policy::note_prefill_end(charges_, result);
     context_.log.write(
         "prefill_again", {{"request", request_.terms.id},
@@ -143,7 +143,7 @@
                           {"reason", reason},
                           {"after_ms", since_arrival().count()}});
     end_prefill();
-    context_.metrics.count_repeat(reason);
+    context_.metrics.count_retry(reason);
     place();
 }
 
--- a/libs/mintknotd-platform/relay/src/health_prober.cpp
+++ b/libs/mintknotd-platform/relay/src/health_prober.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// A check is made this long before the server would be used again.
-constexpr base::milliseconds ahead{250};
-constexpr base::milliseconds check_time{200};
+/// How long before the end of the avoidance time a server is checked.
+constexpr base::milliseconds check_lead_time{250};
+constexpr base::milliseconds check_timeout{200};
 constexpr int status_ok = 200;
 
 } // namespace
@@ -18,7 +18,7 @@
         : timer(owner) {}
     event::timer timer;
     std::unique_ptr<upstream::call> call;
-    bool good = false;
+    bool healthy = false;
 };
 
 health_prober::health_prober(
@@ -39,46 +39,47 @@
     if (watched_.contains(server_id))
         return;
     watched_.emplace(server_id, std::make_unique<state>(owner_));
-    plan(server_id);
+    schedule_check(server_id);
 }
 
-void health_prober::plan(const std::string& id) {
-    const auto wanted = find_check_(id);
-    if (!wanted) {
+void health_prober::schedule_check(const std::string& id) {
+    const auto next_check = find_check_(id);
+    if (!next_check) {
         watched_.erase(id);
         return;
     }
     watched_.at(id)->timer.start(
-        std::max(wanted->due - ahead, wanted->not_before),
-        [this, id] { check(id); });
+        std::max(next_check->due - check_lead_time, next_check->not_before),
+        [this, id] { run_check(id); });
 }
 
-void health_prober::check(const std::string& id) {
-    const auto wanted = find_check_(id);
-    if (!wanted) {
+void health_prober::run_check(const std::string& id) {
+    const auto next_check = find_check_(id);
+    if (!next_check) {
         watched_.erase(id);
         return;
     }
-    state& at = *watched_.at(id);
-    if (wanted->not_before > owner_.now()) {
-        plan(id);
+    state& current = *watched_.at(id);
+    if (next_check->not_before > owner_.now()) {
+        schedule_check(id);
         return;
     }
-    at.good = false;
-    at.timer.start(check_time, [this, id] { finish(id, false); });
-    at.call = upstream::call::start(
-        pool_, wanted->server, {protocol_.health(wanted->path, id), nullptr},
-        {},
+    current.healthy = false;
+    current.timer.start(check_timeout, [this, id] { finish_check(id, false); });
+    current.call = upstream::call::start(
+        pool_, next_check->server,
+        {protocol_.health_request(next_check->path, id), nullptr}, {},
         {nullptr,
-         [this, &at, id](http1::response_head& head) {
-             at.good = head.status == status_ok &&
-                       protocol_.read_answer(head).server_id == id;
+         [this, &current, id](http1::response_head& head) {
+             current.healthy = head.status == status_ok &&
+                               protocol_.read_answer(head).server_id == id;
          },
-         [](std::string_view) {}, [this, &at, id] { finish(id, at.good); },
-         [this, id](upstream::call_failure) { finish(id, false); }});
+         [](std::string_view) {},
+         [this, &current, id] { finish_check(id, current.healthy); },
+         [this, id](upstream::call_failure) { finish_check(id, false); }});
 }
 
-void health_prober::finish(const std::string& id, bool passed) {
+void health_prober::finish_check(const std::string& id, bool passed) {
     const auto found = watched_.find(id);
     if (found == watched_.end())
         return;
@@ -87,10 +88,10 @@
     log_.write("health_check", {{"server", id}, {"passed", passed}});
     on_result_(id, passed);
     if (!passed) {
-        plan(id);
+        schedule_check(id);
         return;
     }
-    // The state holds the handler that is running: let it go afterwards. The
+    // The state owns the handler that is running, so it is erased later. The
     // server may be avoided again by then.
     owner_.post([this, id] {
         watched_.erase(id);
--- a/libs/mintknotd-platform/relay/src/local_server.cpp
+++ b/libs/mintknotd-platform/relay/src/local_server.cpp
@@ -11,12 +11,12 @@
 
 constexpr std::size_t max_connections = 128;
 constexpr http1::message_limits request_limits{8 * 1024, 64 * 1024};
-constexpr base::milliseconds idle_time{30000};
+constexpr base::milliseconds idle_timeout{30000};
 
 } // namespace
 
 struct local_server::impl : std::enable_shared_from_this<local_server::impl> {
-    /// One connection, kept alive by the handlers that it is captured in.
+    /// The state of one connection, kept alive by the connection's handlers.
     struct session {
         explicit session(event::loop& owner)
             : idle(owner) {}
@@ -24,8 +24,8 @@
         std::unique_ptr<http1::request_parser> parser;
         std::string pending;
         event::timer idle;
-        bool answering = false; ///< A request waits for its answer.
-        bool reading = false;   ///< read() is at work.
+        bool answering = false; ///< The answer to a request is pending.
+        bool reading = false;   ///< Guards against reentrancy.
     };
 
     impl(event::loop& loop, handler answer_function)
@@ -45,22 +45,22 @@
         state->link->set_handlers(
             {[self = shared_from_this(), state](std::string_view bytes) {
                  state->pending.append(bytes);
-                 self->read(state);
+                 self->process_pending(state);
              },
              [self = shared_from_this(), state](event::connection_end) {
-                 self->end(*state);
+                 self->close_session(*state);
              },
              nullptr});
-        watch(*state);
+        start_idle_timer(*state);
     }
 
-    void watch(session& state) {
-        state.idle.start(idle_time, [self = shared_from_this(), &state] {
-            self->end(state);
+    void start_idle_timer(session& state) {
+        state.idle.start(idle_timeout, [self = shared_from_this(), &state] {
+            self->close_session(state);
         });
     }
 
-    void end(session& state) {
+    void close_session(session& state) {
         if (state.link == nullptr)
             return;
         --open;
@@ -70,16 +70,16 @@
         link->close();
     }
 
-    /// Takes the requests that have come, one after another.
-    void read(const std::shared_ptr<session>& state) {
+    /// Handles the received requests in order.
+    void process_pending(const std::shared_ptr<session>& state) {
         if (state->reading)
             return;
         state->reading = true;
-        read_all(state);
+        parse_requests(state);
         state->reading = false;
     }
 
-    void read_all(const std::shared_ptr<session>& state) {
+    void parse_requests(const std::shared_ptr<session>& state) {
         while (state->link != nullptr && !state->answering &&
                !state->pending.empty()) {
             const std::size_t used =
@@ -88,17 +88,17 @@
             if (state->parser->error() != http1::parse_error::none) {
                 state->link->write(
                     http1::text_response(400, {}, "malformed\n", false));
-                end(*state);
+                close_session(*state);
                 return;
             }
             if (state->parser->done())
-                ask(state);
+                dispatch(state);
             else if (used == 0)
                 return;
         }
     }
 
-    void ask(const std::shared_ptr<session>& state) {
+    void dispatch(const std::shared_ptr<session>& state) {
         const http1::request_head head = state->parser->head();
         state->parser = std::make_unique<http1::request_parser>(request_limits);
         state->answering = true;
@@ -119,11 +119,11 @@
             result.status, {{"Content-Type", result.content_type}},
             head.method == "HEAD" ? "" : result.body, head.keep_alive));
         if (!head.keep_alive) {
-            end(*state);
+            close_session(*state);
             return;
         }
-        watch(*state);
-        read(state);
+        start_idle_timer(*state);
+        process_pending(state);
     }
 
     event::loop& owner;
@@ -155,8 +155,8 @@
     impl_->listener.close();
 }
 
-local_server::handler
-at_once(std::function<local_answer(const http1::request_head&)> answer) {
+local_server::handler synchronous_handler(
+    std::function<local_answer(const http1::request_head&)> answer) {
     return [answer = std::move(answer)](
                const http1::request_head& head, const local_reply& reply) {
         reply(answer(head));
--- a/libs/mintknotd-platform/relay/src/plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.cpp
@@ -89,7 +89,7 @@
                  {"server", server_},
                  {"placed_by", placed_by},
                  {"send", std::int64_t{sends_}},
-                 {"servers_age_ms", servers_age_ms(context_)},
+                 {"servers_age_ms", server_table_age_ms(context_)},
                  {"config", static_cast<std::int64_t>(config_->version)},
                  {"left_ms", time_left().count()}});
     call_ = upstream::call::start(
@@ -157,7 +157,7 @@
         const std::string server = server_;
         release_load();
         call_.reset();
-        note_result(
+        note_call_result(
             context_, server, policy::call_result::good, request_.terms.id);
         note_whole_answer();
         end_answer("answered");
@@ -197,20 +197,20 @@
     const std::string server = server_;
     release_load();
     call_.reset();
-    note_result(context_, server, result, request_.terms.id);
+    note_call_result(context_, server, result, request_.terms.id);
     take(next_step(end));
 }
 
 void plain_exchange::on_silence() {
-    note_result(
+    note_call_result(
         context_, server_, policy::call_result::slow, request_.terms.id);
     const policy::next_step step = next_step(policy::call_end::silent);
     if (step.what == policy::action::keep_waiting ||
-        !spend_repeat(context_, service_.name))
+        !spend_retry(context_, service_.name))
         return;
     raise(base::verdict::may_have_run);
     cancel_calls();
-    context_.metrics.count_repeat(step.reason);
+    context_.metrics.count_retry(step.reason);
     place();
 }
 
@@ -226,11 +226,11 @@
         return;
     }
     if (step.costs_repeat) {
-        if (!spend_repeat(context_, service_.name)) {
+        if (!spend_retry(context_, service_.name)) {
             end_with(step.otherwise, step);
             return;
         }
-        context_.metrics.count_repeat(step.reason);
+        context_.metrics.count_retry(step.reason);
     }
     place();
 }
@@ -242,7 +242,7 @@
         return;
     }
     if (step.server_out_of_reach) {
-        give_up(step.reason, return_after_outage(context_, service_.name));
+        give_up(step.reason, outage_retry_after(context_, service_.name));
         return;
     }
     end_by(what, what == step.what ? step.reason : step.otherwise_reason);
--- a/libs/mintknotd-platform/relay/src/plain_exchange.hpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.hpp
@@ -51,7 +51,7 @@
     base::steady_time sent_; ///< The call at hand.
     policy::excluded_servers tried_;
     http1::response_head answer_;
-    answer_terms answer_terms_;
+    answer_metadata answer_terms_;
     std::string body_;
     event::timer silence_timer_;
 };
--- a/libs/mintknotd-platform/relay/src/relay_metrics.cpp
+++ b/libs/mintknotd-platform/relay/src/relay_metrics.cpp
@@ -96,11 +96,11 @@
         .Increment();
 }
 
-void relay_metrics::count_repeat(std::string_view reason) {
+void relay_metrics::count_retry(std::string_view reason) {
     impl_->repeats.Add({{"reason", std::string(reason)}}).Increment();
 }
 
-void relay_metrics::observe_servers_age(base::milliseconds age) {
+void relay_metrics::observe_server_table_age(base::milliseconds age) {
     impl_->server_ages.Add({}, latency_buckets()).Observe(seconds(age));
 }
 
--- a/libs/mintknotd-platform/relay/src/release_queue.cpp
+++ b/libs/mintknotd-platform/relay/src/release_queue.cpp
@@ -20,7 +20,7 @@
     const std::uint64_t number = ++last_;
     open_[number] = upstream::call::start(
         pool_, {engine.id, engine.where},
-        {protocol_.release(handle, engine.id), nullptr}, {},
+        {protocol_.release_request(handle, engine.id), nullptr}, {},
         {nullptr, [](http1::response_head&) {}, [](std::string_view) {},
          [this, number] { finish(number); },
          [this, number](upstream::call_failure) { finish(number); }});
--- a/libs/mintknotd-platform/relay/src/request_digest.cpp
+++ b/libs/mintknotd-platform/relay/src/request_digest.cpp
@@ -8,8 +8,9 @@
 
 constexpr std::size_t digest_digits = 32;
 
-/// With its length in front, so that parts cannot pass into each other.
-void append(std::string& text, std::string_view part) {
+/// Appends the part with its length in front, so that different sequences of
+/// parts never give the same text.
+void append_with_length(std::string& text, std::string_view part) {
     text += std::to_string(part.size());
     text += ':';
     text += part;
@@ -22,10 +23,10 @@
     std::string_view body) {
     const std::string* host = http1::find_field(head.fields, "Host");
     std::string text;
-    append(text, organisation);
-    append(text, head.method);
-    append(text, host == nullptr ? std::string_view{} : *host);
-    append(text, head.target);
+    append_with_length(text, organisation);
+    append_with_length(text, head.method);
+    append_with_length(text, host == nullptr ? std::string_view{} : *host);
+    append_with_length(text, head.target);
     text += base::sha256_hex(body);
     return base::sha256_hex(text).substr(0, digest_digits);
 }
--- a/libs/mintknotd-platform/relay/src/router_state.cpp
+++ b/libs/mintknotd-platform/relay/src/router_state.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-/// In a log line: nobody has told how old the view of the servers is.
+/// Logged if the age of the server table is unknown.
 constexpr base::milliseconds unknown_age{-1};
 
-void tell_load_change(router_context& context) {
+void notify_load_change(router_context& context) {
     if (context.state.on_load_change)
         context.state.on_load_change();
 }
 
 } // namespace
 
-policy::knowledge knowledge_of(const router_context& context) {
+policy::knowledge configuration_freshness_of(const router_context& context) {
     policy::knowledge known;
     known.revocation_bound = context.options.revocation_bound;
     if (context.state.configuration_confirmed)
@@ -31,16 +31,17 @@
     return known;
 }
 
-std::optional<base::milliseconds> servers_age(const router_context& context) {
-    const auto confirmed = context.state.servers_confirmed;
+std::optional<base::milliseconds>
+server_table_age(const router_context& context) {
+    const auto confirmed = context.state.server_table_confirmed;
     if (!confirmed || context.state.servers.partial)
         return std::nullopt;
     return std::chrono::duration_cast<base::milliseconds>(
         context.loop.now() - *confirmed);
 }
 
-std::int64_t servers_age_ms(const router_context& context) {
-    return servers_age(context).value_or(unknown_age).count();
+std::int64_t server_table_age_ms(const router_context& context) {
+    return server_table_age(context).value_or(unknown_age).count();
 }
 
 void add_load(
@@ -55,11 +56,11 @@
     router_context& context, const std::string& server_id,
     const traffic::server_load& load) {
     traffic::remove(context.state.loads, server_id, load);
-    tell_load_change(context);
-    context.queue.room_freed();
+    notify_load_change(context);
+    context.queue.notify_capacity_freed();
 }
 
-void note_result(
+void note_call_result(
     router_context& context, const std::string& server_id,
     policy::call_result result, const std::string& request_id) {
     context.metrics.count_call(result);
@@ -73,15 +74,15 @@
                            {"server", server_id},
                            {"because", policy::to_string(result)},
                            {"for_ms", left.count()}});
-    tell_load_change(context);
+    notify_load_change(context);
     context.prober.watch(server_id);
 }
 
-void note_retries(
+void note_peer_retries(
     router_state& state, const std::string& peer, std::uint64_t incarnation,
     const policy::usage_map& usage, base::steady_time now) {
     std::erase_if(state.retries_of_peers, [&](const auto& item) {
-        return now - item.second.heard > state.retry_bounds.window;
+        return now - item.second.received_at > state.retry_bounds.window;
     });
     state.retries_of_peers[{peer, incarnation}] = {usage, now};
 }
@@ -90,13 +91,13 @@
     const router_state& state, const std::string& service,
     base::steady_time now) {
     policy::fleet_usage fleet;
-    for (const auto& [peer, told] : state.retries_of_peers) {
-        if (now - told.heard > state.retry_bounds.window)
+    for (const auto& [peer, reported] : state.retries_of_peers) {
+        if (now - reported.received_at > state.retry_bounds.window)
             continue;
-        if (now - told.heard <= policy::peer_life)
+        if (now - reported.received_at <= policy::peer_life)
             ++fleet.heard;
-        const auto found = told.by_service.find(service);
-        if (found == told.by_service.end())
+        const auto found = reported.by_service.find(service);
+        if (found == reported.by_service.end())
             continue;
         fleet.peers.requests += found->second.requests;
         fleet.peers.repeats += found->second.repeats;
@@ -104,11 +105,11 @@
     return fleet;
 }
 
-void note_waiting(
+void note_peer_waiting(
     router_state& state, const std::string& peer,
     const std::map<std::string, double>& tokens, base::steady_time now) {
     std::erase_if(state.waiting_of_peers, [&](const auto& item) {
-        return now - item.second.heard > traffic::load_life;
+        return now - item.second.received_at > traffic::load_life;
     });
     if (tokens.empty())
         state.waiting_of_peers.erase(peer);
@@ -116,14 +117,14 @@
         state.waiting_of_peers[peer] = {tokens, now};
 }
 
-double tokens_ahead_elsewhere(
+double peer_tokens_ahead(
     const router_state& state, const std::string& service,
     base::steady_time now) {
     double sum = 0.0;
-    for (const auto& [peer, told] : state.waiting_of_peers) {
-        const auto found = told.by_service.find(service);
-        if (found != told.by_service.end() &&
-            now - told.heard <= traffic::load_life)
+    for (const auto& [peer, reported] : state.waiting_of_peers) {
+        const auto found = reported.by_service.find(service);
+        if (found != reported.by_service.end() &&
+            now - reported.received_at <= traffic::load_life)
             sum += found->second;
     }
     return sum * policy::elsewhere_share_ahead;
@@ -136,17 +137,17 @@
     const auto own = state.demands.find(service);
     if (own != state.demands.end())
         policy::add(sum, own->second);
-    for (const auto& [host, told] : state.demands_of_peers) {
-        const auto found = told.by_service.find(service);
-        if (found != told.by_service.end() &&
-            now - told.heard <= peer_demand_life)
+    for (const auto& [host, reported] : state.demands_of_peers) {
+        const auto found = reported.by_service.find(service);
+        if (found != reported.by_service.end() &&
+            now - reported.received_at <= peer_demand_lifetime)
             policy::add(sum, found->second);
     }
     return sum;
 }
 
 std::optional<base::milliseconds>
-limited_return_time(router_context& context, const std::string& service) {
+limited_retry_after(router_context& context, const std::string& service) {
     const base::steady_time now = context.loop.now();
     const policy::health_view& health = context.state.health;
     double rate = 0.0;
@@ -154,7 +155,7 @@
     std::optional<base::milliseconds> shortest_wait;
     for (const traffic::server* server :
          traffic::open_servers(context.state.servers, service)) {
-        // Requests are not refused for lack of prefill engines.
+        // A lack of prefill engines does not cause refusals.
         if (server->phase == traffic::engine_phase::prefill)
             continue;
         const base::milliseconds wait = std::max(
@@ -173,12 +174,13 @@
         rate /
         static_cast<double>(std::max<std::size_t>(context.state.instances, 1));
     return policy::schedule_limited_return(
-        context.state.returns[service], *shortest_wait, share, now);
+        context.state.retry_after_schedules[service], *shortest_wait, share,
+        now);
 }
 
 base::milliseconds
-return_after_outage(router_context& context, const std::string& service) {
-    if (const auto limited = limited_return_time(context, service))
+outage_retry_after(router_context& context, const std::string& service) {
+    if (const auto limited = limited_retry_after(context, service))
         return *limited;
     const auto rest = policy::time_until_first_end(
         context.state.health.resting,
@@ -196,8 +198,8 @@
 policy::spend_terms
 spend_terms_for(const router_context& context, const std::string& service) {
     const std::size_t instances = context.state.instances;
-    // Large groups do not look at it (repeat_rights.hpp), and it is a sum over
-    // all peers.
+    // Large groups do not use the peers' usage (retry_quota.hpp), so the sum
+    // over all peers is not computed for them.
     const policy::fleet_usage fleet =
         policy::is_large(instances)
             ? policy::fleet_usage{}
@@ -205,23 +207,24 @@
     return {instances, fleet, context.state.started};
 }
 
-bool spend_repeat(router_context& context, const std::string& service) {
+bool spend_retry(router_context& context, const std::string& service) {
     const base::steady_time now = context.loop.now();
-    policy::retry_allowance& allowance = context.state.allowances[service];
+    policy::retry_allowance& allowance =
+        context.state.retry_allowances[service];
     const policy::retry_bounds& bounds = context.state.retry_bounds;
     const policy::spend_terms terms = spend_terms_for(context, service);
     const bool allowed = policy::spend(allowance, bounds, terms, now);
     const int wanted = policy::repeats_to_borrow(allowance, bounds, terms, now);
-    if (wanted > 0 && context.state.on_repeats_low)
-        context.state.on_repeats_low(service, wanted);
+    if (wanted > 0 && context.state.on_retries_low)
+        context.state.on_retries_low(service, wanted);
     return allowed;
 }
 
 namespace {
 
-/// Servers with idle connections that a placement is told of; bounds the
-/// datagram.
-constexpr std::size_t max_connected = 8;
+/// Maximum number of servers with idle connections in a placement query; bounds
+/// the size of its datagram.
+constexpr std::size_t max_connected_servers = 8;
 
 std::set<std::string>
 connected_servers(const router_context& context, const std::string& service) {
@@ -230,7 +233,7 @@
         const traffic::server* server =
             traffic::find(context.state.servers, id);
         if (server != nullptr && server->service == service &&
-            found.size() < max_connected)
+            found.size() < max_connected_servers)
             found.insert(id);
     }
     return found;
@@ -244,7 +247,7 @@
     query.connected = connected_servers(context, target.name);
     if (context.placement != nullptr && context.placement->active())
         return context.placement->ask(std::move(query), then);
-    policy::selection_inputs inputs = selection_for(context, target);
+    policy::selection_inputs inputs = make_selection_inputs(context, target);
     inputs.connected = &query.connected;
     const policy::placement placed = policy::choose(inputs, query);
     policy::charge_placement(
@@ -255,18 +258,18 @@
 }
 
 policy::selection_inputs
-selection_for(router_context& context, const traffic::service& target) {
+make_selection_inputs(router_context& context, const traffic::service& target) {
     traffic::expire(context.state.loads, context.loop.now());
     policy::selection_inputs inputs{
         context.state.servers,
         context.state.loads,
         context.state.health,
-        context.state.rates,
+        context.state.prefill_rates,
         target,
         context.options.data_centre,
         context.state.instances,
         context.loop.now(),
-        [&context] { return context.draw(); }};
+        [&context] { return context.draw_uniform(); }};
     inputs.mean_hold = policy::mean_hold(context.state.demands[target.name]);
     return inputs;
 }
--- a/libs/mintknotd-platform/relay/src/server_notices.cpp
+++ b/libs/mintknotd-platform/relay/src/server_notices.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-void take_limit(
+void apply_limit(
     router_context& context, const std::string& server_id,
     const server_notice& notice) {
     if (notice.malformed_limit &&
@@ -25,29 +25,30 @@
 
 void log_limit(
     router_context& context, const std::string& server_id,
-    const std::string& told_by) {
+    const std::string& reported_by) {
     const auto& limits = context.state.health.limits.servers;
     const auto found = limits.find(server_id);
     if (found != limits.end() && found->second.rate)
         context.log.write(
             "server_limited", {{"server", server_id},
                                {"rate", *found->second.rate},
-                               {"told_by", told_by}});
+                               {"told_by", reported_by}});
     else
         context.log.write(
             "server_limit_ended",
-            {{"server", server_id}, {"told_by", told_by}});
+            {{"server", server_id}, {"told_by", reported_by}});
 }
 
-void follow_server_notices(router_context& context) {
+void observe_server_notices(router_context& context) {
     context.pool.observe_answers(
         [&context](
             const std::string& server_id, const http1::response_head& head) {
-            take_notice(context, server_id, context.protocol.read_notice(head));
+            apply_server_notice(
+                context, server_id, context.protocol.read_notice(head));
         });
 }
 
-void take_notice(
+void apply_server_notice(
     router_context& context, const std::string& server_id,
     const server_notice& notice) {
     if (notice.leaving &&
@@ -59,7 +60,7 @@
         context.log.write(
             "server_rests",
             {{"server", server_id}, {"for_ms", notice.rest->count()}});
-    take_limit(context, server_id, notice);
+    apply_limit(context, server_id, notice);
 }
 
 bool may_send_to(const router_context& context, const traffic::server& server) {
--- a/libs/mintknotd-platform/relay/src/wait_queue.cpp
+++ b/libs/mintknotd-platform/relay/src/wait_queue.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// Room that comes by time alone (a server that is no longer avoided) is found
-/// after this long at most: a twentieth of the targets of 300 ms and more that
-/// streams have.
+/// The queue is checked at least this often, because some capacity becomes free
+/// without a notification, for example when a server is no longer avoided. It
+/// is a twentieth of the shortest latency target of streams, 300 ms.
 constexpr base::milliseconds default_period{15};
 
 struct waiter {
@@ -34,7 +34,7 @@
         timer.start(period, [this] { wake(); });
     }
 
-    std::vector<std::uint64_t> in_order() const {
+    std::vector<std::uint64_t> waiters_by_rank() const {
         std::vector<std::uint64_t> order;
         for (const auto& [number, entry] : waiters)
             order.push_back(number);
@@ -48,11 +48,11 @@
     }
 
     void wake() {
-        woken = false;
+        wake_posted = false;
         timer.stop();
         last_wake = loop.now();
-        for (const std::uint64_t number : in_order()) {
-            // Whoever was woken before may have ended another request.
+        for (const std::uint64_t number : waiters_by_rank()) {
+            // A request handled earlier in this loop may have removed this one.
             auto node = waiters.extract(number);
             if (!node.empty())
                 node.mapped().try_again();
@@ -67,7 +67,7 @@
     base::steady_time last_wake{};
     std::map<std::uint64_t, waiter> waiters;
     std::uint64_t last_number = 0;
-    bool woken = false; ///< A wake-up is under way.
+    bool wake_posted = false; ///< A wake-up has been posted.
 };
 
 wait_queue::wait_queue(event::loop& loop)
@@ -78,12 +78,12 @@
 std::unique_ptr<wait_queue::ticket> wait_queue::join(
     const std::string& service, const policy::queue_rank& rank, double tokens,
     std::function<void()> try_again) {
-    class kept_ticket final : public ticket {
+    class queue_ticket final : public ticket {
     public:
-        kept_ticket(std::weak_ptr<impl> queue, std::uint64_t number)
+        queue_ticket(std::weak_ptr<impl> queue, std::uint64_t number)
             : queue_(std::move(queue))
             , number_(number) {}
-        ~kept_ticket() override {
+        ~queue_ticket() override {
             if (const auto queue = queue_.lock())
                 queue->waiters.erase(number_);
         }
@@ -96,21 +96,21 @@
     impl_->waiters.emplace(
         number, waiter{service, rank, tokens, std::move(try_again)});
     impl_->arm();
-    return std::make_unique<kept_ticket>(impl_, number);
+    return std::make_unique<queue_ticket>(impl_, number);
 }
 
-void wait_queue::room_freed() {
-    if (impl_->woken || impl_->waiters.empty() ||
+void wait_queue::notify_capacity_freed() {
+    if (impl_->wake_posted || impl_->waiters.empty() ||
         impl_->loop.now() - impl_->last_wake < impl_->min_wake_gap)
         return;
-    impl_->woken = true;
+    impl_->wake_posted = true;
     impl_->loop.post([queue = std::weak_ptr<impl>(impl_)] {
         if (const auto alive = queue.lock())
             alive->wake();
     });
 }
 
-void wait_queue::slow_down(base::milliseconds min_wake_gap) {
+void wait_queue::set_min_wake_interval(base::milliseconds min_wake_gap) {
     impl_->min_wake_gap = min_wake_gap;
     impl_->period = std::max(default_period, min_wake_gap);
 }
@@ -124,7 +124,7 @@
     return sum;
 }
 
-std::map<std::string, double> wait_queue::waiting() const {
+std::map<std::string, double> wait_queue::waiting_tokens() const {
     std::map<std::string, double> sums;
     for (const auto& [number, entry] : impl_->waiters)
         sums[entry.service] += entry.tokens;
--- a/libs/mintknotd-platform/relay/tests/bound_port.hpp
+++ b/libs/mintknotd-platform/relay/tests/bound_port.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A loopback port that nobody listens on, and that nobody else can get.
+/// A loopback port that refuses connections and stays reserved.
 #ifndef MINTKNOT_RELAY_TESTS_BOUND_PORT_HPP
 #define MINTKNOT_RELAY_TESTS_BOUND_PORT_HPP
 
@@ -7,9 +7,9 @@
 
 namespace mintknot::relay::tests {
 
-/// Connections to it are refused as long as the object lives. A port that was
-/// merely free a moment ago may be taken by a server of another test, which
-/// then answers in place of the dead one.
+/// Binds a port without listening on it, so that connections to it are refused
+/// during the lifetime of the object. A port that is only known to be free may
+/// be taken by a server of another test, which would then answer instead.
 class bound_port {
 public:
     bound_port();
--- a/libs/mintknotd-platform/relay/tests/relay_fixture.cpp
+++ b/libs/mintknotd-platform/relay/tests/relay_fixture.cpp
@@ -39,22 +39,23 @@
 
 } // namespace
 
-request_terms
+request_metadata
 test_dialect::read_request(const http1::request_head& head) const {
-    request_terms terms;
+    request_metadata terms;
     terms.id = text_of(head.fields, "Id");
     if (const auto deadline = http1::find_number(head.fields, "Deadline"))
         terms.deadline = base::milliseconds(*deadline);
     terms.prompt_tokens = number_of(head.fields, "Tokens");
-    terms.tells_tokens = terms.prompt_tokens > 0.0;
+    terms.declares_tokens = terms.prompt_tokens > 0.0;
     const std::string key = text_of(head.fields, "Key");
     if (!key.empty())
         terms.key = key;
     return terms;
 }
 
-answer_terms test_dialect::read_answer(const http1::response_head& head) const {
-    answer_terms terms;
+answer_metadata
+test_dialect::read_answer(const http1::response_head& head) const {
+    answer_metadata terms;
     terms.request_id = text_of(head.fields, "Id");
     terms.not_executed = !text_of(head.fields, "Not-Run").empty();
     terms.has_signature = !text_of(head.fields, "Seal").empty();
@@ -84,11 +85,11 @@
     return prefill_result{std::string(body.substr(7)), 0.0};
 }
 
-http1::request_head test_dialect::outgoing(
-    const http1::request_head& caller, const call_terms& terms) const {
+http1::request_head test_dialect::forwarded_request(
+    const http1::request_head& caller, const call_parameters& terms) const {
     http1::request_head head = caller;
     http1::erase_hop_fields(head.fields);
-    if (terms.hides_key)
+    if (terms.strip_key)
         http1::erase_fields(head.fields, "Key");
     if (!terms.organisation.empty())
         head.fields.push_back({"Organisation", terms.organisation});
@@ -103,7 +104,7 @@
     return head;
 }
 
-http1::request_head test_dialect::release(
+http1::request_head test_dialect::release_request(
     const std::string& handle, const std::string& server_id) const {
     http1::request_head head;
     head.method = "DELETE";
@@ -112,7 +113,7 @@
     return head;
 }
 
-http1::request_head test_dialect::health(
+http1::request_head test_dialect::health_request(
     const std::string& path, const std::string& server_id) const {
     http1::request_head head;
     head.method = "GET";
@@ -121,7 +122,8 @@
     return head;
 }
 
-http1::request_head test_dialect::report(const std::string& server_id) const {
+http1::request_head
+test_dialect::report_request(const std::string& server_id) const {
     http1::request_head head;
     head.method = "GET";
     head.target = "/report";
@@ -139,7 +141,7 @@
     return value;
 }
 
-own_call test_dialect::order(
+own_call test_dialect::order_call(
     const phase_order& value, const std::string& server_id) const {
     own_call call;
     call.head.method = "POST";
@@ -151,7 +153,7 @@
     return call;
 }
 
-std::string test_dialect::result_place(
+std::string test_dialect::result_location(
     const std::string&, const std::string& handle) const {
     return handle;
 }
@@ -190,7 +192,7 @@
         traffic::engine_spec{10000, base::milliseconds(2000)}};
     configure();
     context.state.retry_bounds.extra = 1000.0;
-    follow_server_notices(context);
+    observe_server_notices(context);
     entry = std::make_unique<entry_server>(context);
     cr_assert(entry->open({"127.0.0.1", 0}).ok());
 }
@@ -308,20 +310,21 @@
         fields);
 }
 
-std::string answer_to(const received& to, const std::string& body, int status) {
+std::string
+answer_to(const received_request& to, const std::string& body, int status) {
     return fmt::format(
         "HTTP/1.1 {} X\r\nId: {}\r\nSeal: s\r\nContent-Length: {}\r\n\r\n{}",
         status, to.field("Id"), body.size(), body);
 }
 
-std::string rejection_of(const received& to) {
+std::string rejection_of(const received_request& to) {
     return fmt::format(
         "HTTP/1.1 503 X\r\nId: {}\r\nNot-Run: 1\r\nContent-Length: "
         "0\r\n\r\n",
         to.field("Id"));
 }
 
-std::string stream_head(const received& to) {
+std::string stream_head(const received_request& to) {
     return fmt::format(
         "HTTP/1.1 200 X\r\nId: {}\r\nSeal: s\r\nContent-Type: events\r\n"
         "Transfer-Encoding: chunked\r\n\r\n",
@@ -333,13 +336,14 @@
 }
 
 script good_prefill(const std::string& handle) {
-    return [handle](const received& to, const event::connection_ptr& link) {
+    return [handle](
+               const received_request& to, const event::connection_ptr& link) {
         link->write(answer_to(to, "handle " + handle));
     };
 }
 
 script good_decode() {
-    return [](const received& to, const event::connection_ptr& link) {
+    return [](const received_request& to, const event::connection_ptr& link) {
         const std::string after = to.field("After");
         std::string text = stream_head(to);
         for (int id = after.empty() ? 1 : std::stoi(after) + 1; id <= 3; ++id)
--- a/libs/mintknotd-platform/relay/tests/relay_fixture.hpp
+++ b/libs/mintknotd-platform/relay/tests/relay_fixture.hpp
@@ -22,24 +22,27 @@
 /// Short names for the fields that a real dialect has.
 class test_dialect final : public dialect {
 public:
-    request_terms read_request(const http1::request_head& head) const override;
-    answer_terms read_answer(const http1::response_head& head) const override;
+    request_metadata
+    read_request(const http1::request_head& head) const override;
+    answer_metadata
+    read_answer(const http1::response_head& head) const override;
     server_notice read_notice(const http1::response_head& head) const override;
     std::optional<prefill_result>
     read_prefill(std::string_view body) const override;
-    http1::request_head outgoing(
+    http1::request_head forwarded_request(
         const http1::request_head& caller,
-        const call_terms& terms) const override;
-    http1::request_head release(
+        const call_parameters& terms) const override;
+    http1::request_head release_request(
         const std::string& handle, const std::string& server_id) const override;
-    http1::request_head health(
+    http1::request_head health_request(
         const std::string& path, const std::string& server_id) const override;
-    http1::request_head report(const std::string& server_id) const override;
+    http1::request_head
+    report_request(const std::string& server_id) const override;
     std::optional<engine_report>
     read_report(std::string_view body) const override;
-    own_call order(
+    own_call order_call(
         const phase_order& value, const std::string& server_id) const override;
-    std::string result_place(
+    std::string result_location(
         const std::string& server_address,
         const std::string& handle) const override;
     http1::field_list own_answer(
@@ -104,17 +107,17 @@
 request(const std::string& path, const std::string& fields = "Id: r1\r\n");
 
 /// @return a sealed answer to the request.
-std::string
-answer_to(const received& to, const std::string& body, int status = 200);
+std::string answer_to(
+    const received_request& to, const std::string& body, int status = 200);
 /// @return an answer that says that the request has not run.
-std::string rejection_of(const received& to);
+std::string rejection_of(const received_request& to);
 
 /// Answers as an engine of the phase does: a handle, or three events.
 script good_prefill(const std::string& handle);
 script good_decode();
 /// @return the event with that ID.
 std::string event_text(int id);
-std::string stream_head(const received& to);
+std::string stream_head(const received_request& to);
 
 } // namespace mintknot::relay::tests
 
--- a/libs/mintknotd-platform/relay/tests/test_entry_server.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_entry_server.cpp
@@ -13,8 +13,8 @@
 constexpr auto plain = traffic::engine_phase::none;
 using std::chrono::seconds;
 
-script echoing() {
-    return [](const received& to, const event::connection_ptr& link) {
+script echo_id() {
+    return [](const received_request& to, const event::connection_ptr& link) {
         link->write(answer_to(to, to.field("Id")));
     };
 }
@@ -31,7 +31,7 @@
 
 Test(entry_server, pipelined_requests_are_answered_in_order) {
     relay_fixture f;
-    scripted_server& server = f.add_server("i", "app", plain, echoing());
+    scripted_server& server = f.add_server("i", "app", plain, echo_id());
     const caller_view seen = f.ask(
         request("/unsafe/1", "Id: a\r\n") + request("/unsafe/2", "Id: b\r\n") +
             request("/unsafe/3", "Id: c\r\nConnection: close\r\n"),
@@ -44,7 +44,7 @@
 
 Test(entry_server, a_smuggled_request_reaches_no_server) {
     relay_fixture f;
-    scripted_server& server = f.add_server("i", "app", plain, echoing());
+    scripted_server& server = f.add_server("i", "app", plain, echo_id());
     const caller_view seen = f.ask(
         "POST /unsafe/x HTTP/1.1\r\nHost: h\r\nId: a\r\nContent-Length: 5\r\n"
         "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
@@ -58,7 +58,7 @@
          {"identity", "gzip", "xchunked", "chunked, chunked",
           "chunked, identity", "gzip, chunked", "chunked;q=1"}) {
         relay_fixture f;
-        scripted_server& server = f.add_server("i", "app", plain, echoing());
+        scripted_server& server = f.add_server("i", "app", plain, echo_id());
         const caller_view seen = f.ask(
             std::string("POST /unsafe/x HTTP/1.1\r\nHost: h\r\nId: a\r\n") +
                 "Transfer-Encoding: " + coding +
@@ -70,7 +70,7 @@
     }
 }
 
-Test(entry_server, malformed_requests_get_an_answer_and_a_close) {
+Test(entry_server, malformed_requests_are_answered_with_400) {
     relay_fixture f;
     for (const char* bytes :
          {"nonsense\r\n\r\n", "GET / HTTP/1.1\nHost: h\n\n",
@@ -80,7 +80,7 @@
     }
 }
 
-Test(entry_server, bounds_what_callers_send) {
+Test(entry_server, enforces_header_and_body_limits) {
     relay_fixture f;
     f.config.limits.header_bytes = 200;
     f.config.limits.body_bytes = 10;
@@ -92,14 +92,14 @@
             .status == 413);
 }
 
-Test(entry_server, a_slow_head_is_ended) {
+Test(entry_server, slow_header_times_out) {
     relay_fixture f;
     f.config.limits.header_timeout = base::milliseconds(50);
     f.configure();
     cr_assert(f.ask("GET / HT").status == 408);
 }
 
-Test(entry_server, unknown_routes_and_missing_configuration) {
+Test(entry_server, unknown_route_and_missing_configuration_are_refused) {
     relay_fixture f;
     cr_assert(f.ask(request("/other/x")).status == 404);
     f.context.state.config = nullptr;
@@ -108,27 +108,27 @@
     cr_assert(!seen.field("Retry-After").empty());
 }
 
-Test(entry_server, a_body_in_chunks_arrives_whole) {
+Test(entry_server, chunked_body_is_forwarded_completely) {
     relay_fixture f;
-    scripted_server& server = f.add_server("i", "app", plain, echoing());
+    scripted_server& server = f.add_server("i", "app", plain, echo_id());
     f.ask("POST /safe/x HTTP/1.1\r\nHost: h\r\nId: a\r\nTransfer-Encoding: "
           "chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
     cr_assert(server.requests.at(0).body == "abcde");
     cr_assert(server.requests.at(0).field("Content-Length") == "5");
 }
 
-Test(entry_server, while_stopping_every_answer_closes) {
+Test(entry_server, answers_close_the_connection_while_stopping) {
     relay_fixture f;
-    f.add_server("i", "app", plain, echoing());
+    f.add_server("i", "app", plain, echo_id());
     f.entry->begin_drain(seconds(8));
     const caller_view seen = f.ask(request("/unsafe/x"), [] { return false; });
     cr_assert(seen.status == 200);
     cr_assert(seen.field("Connection") == "close");
 }
 
-Test(entry_server, late_in_a_stop_no_stream_begins) {
-    // Found by a hunt: a stream taken five seconds after SIGTERM was cut off
-    // at the end of the grace.
+Test(entry_server, streams_are_refused_late_in_a_shutdown) {
+    // A stream that is accepted five seconds after SIGTERM would be cut off at
+    // the end of the grace period.
     relay_fixture f;
     f.add_server("d", "llm", traffic::engine_phase::decode, good_decode());
     f.entry->begin_drain(seconds(8));
@@ -138,18 +138,18 @@
     cr_assert(!seen.field("Retry-After").empty());
 }
 
-Test(entry_server, too_many_bodies_are_refused_unrun) {
+Test(entry_server, body_memory_limit_refuses_without_forwarding) {
     relay_fixture f;
-    scripted_server& server = f.add_server("i", "app", plain, echoing());
+    scripted_server& server = f.add_server("i", "app", plain, echo_id());
     f.context.options.max_body_bytes = 1;
     cr_assert(f.ask(request("/unsafe/x")).status == 503);
     cr_assert(server.requests.empty());
     cr_assert(f.context.state.open_body_bytes == 0);
 }
 
-Test(entry_server, idle_callers_give_way_to_new_ones) {
+Test(entry_server, new_caller_replaces_the_longest_idle_one) {
     relay_fixture f;
-    f.add_server("i", "app", plain, echoing());
+    f.add_server("i", "app", plain, echo_id());
     f.context.options.max_callers = 2;
     const event::connection_ptr first = f.connect_idle();
     bool first_ended = false;
@@ -161,11 +161,11 @@
     f.run_until([&] { return first_ended; });
 }
 
-Test(entry_server, without_an_idle_caller_a_new_one_is_turned_away) {
+Test(entry_server, new_caller_is_rejected_if_no_caller_is_idle) {
     relay_fixture f;
     scripted_server& server = f.add_server(
         "i", "app", plain,
-        [](const received&, const event::connection_ptr&) {});
+        [](const received_request&, const event::connection_ptr&) {});
     f.context.options.max_callers = 1;
     const event::connection_ptr busy = f.connect_idle();
     busy->write(request("/unsafe/x"));
@@ -174,7 +174,7 @@
     cr_assert(server.requests.size() == 1);
 }
 
-Test(drain, leaves_when_nothing_is_left_and_before_the_grace_ends) {
+Test(drain, exits_when_idle_or_before_the_grace_period_ends) {
     cr_assert(
         policy::next_drain_step(seconds(0), seconds(8), 0) ==
         policy::drain_step::serve);
--- a/libs/mintknotd-platform/relay/tests/test_generation_exchange.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_generation_exchange.cpp
@@ -19,21 +19,22 @@
 const std::string all_events = event_text(1) + event_text(2) + event_text(3);
 
 script rejecting() {
-    return [](const received& to, const event::connection_ptr& link) {
+    return [](const received_request& to, const event::connection_ptr& link) {
         link->write(rejection_of(to));
     };
 }
 
 /// Sends one event and a part of the next, then ends the connection.
 script breaking_off(bool reset) {
-    return [reset](const received& to, const event::connection_ptr& link) {
-        link->write(
-            stream_head(to) + http1::chunk(event_text(1) + "id: 2\nda"));
-        if (reset)
-            link->reset();
-        else
-            link->close();
-    };
+    return
+        [reset](const received_request& to, const event::connection_ptr& link) {
+            link->write(
+                stream_head(to) + http1::chunk(event_text(1) + "id: 2\nda"));
+            if (reset)
+                link->reset();
+            else
+                link->close();
+        };
 }
 
 std::string prompt(const std::string& path, int tokens = 100) {
@@ -60,7 +61,7 @@
 
 Test(generation_exchange, reading_may_be_repeated_for_every_kind) {
     relay_fixture f;
-    const script broken = [](const received&,
+    const script broken = [](const received_request&,
                              const event::connection_ptr& link) {
         link->reset();
     };
@@ -87,7 +88,7 @@
     scripted_server& d1 = f.add_server("d1", "llm", decode, rejecting());
     scripted_server& d2 = f.add_server("d2", "llm", decode, rejecting());
     int rejected = 0;
-    const script first_rejects = [&](const received& to,
+    const script first_rejects = [&](const received_request& to,
                                      const event::connection_ptr& link) {
         if (++rejected == 1)
             link->write(rejection_of(to));
@@ -121,7 +122,7 @@
         relay_fixture f;
         f.add_server("p", "llm", prefill, good_prefill("k1"));
         bool broken = false;
-        const script first_breaks = [&](const received& to,
+        const script first_breaks = [&](const received_request& to,
                                         const event::connection_ptr& link) {
             if (!broken) {
                 broken = true;
@@ -263,7 +264,7 @@
         const script answer = good_prefill("k1");
         f.add_server(
             "p", "llm", prefill,
-            [&](const received& to, const event::connection_ptr& link) {
+            [&](const received_request& to, const event::connection_ptr& link) {
                 read.start(reading, [&leaves, answer, to, link] {
                     leaves = true;
                     answer(to, link);
@@ -272,13 +273,13 @@
         int after_leaving = 0;
         f.add_server(
             "leaves", "llm", decode,
-            [&](const received& to, const event::connection_ptr& link) {
+            [&](const received_request& to, const event::connection_ptr& link) {
                 after_leaving += leaves ? 1 : 0;
                 good_decode()(to, link);
             });
         f.add_server("stays", "llm", decode, good_decode());
         f.context.placement = &scheduler;
-        f.context.options.named_server_life = reading / 2;
+        f.context.options.named_server_lifetime = reading / 2;
         f.context.state.servers.partial = partial;
         cr_assert(f.ask(prompt("/stream/x")).body == all_events);
         // Who holds the rows would know it.
@@ -323,11 +324,11 @@
     f.add_server("p", "llm", prefill, good_prefill("k1"));
     scripted_server& d = f.add_server(
         "d", "llm", decode,
-        [](const received& to, const event::connection_ptr& link) {
+        [](const received_request& to, const event::connection_ptr& link) {
             link->write(stream_head(to) + http1::chunk(event_text(1)));
         });
     f.ask(prompt("/stream/x"), [&] { return d.requests.size() == 1; });
-    f.run_until([&] { return d.ended == 1; });
+    f.run_until([&] { return d.closed_connections == 1; });
     cr_assert(f.context.state.loads.own.empty());
 }
 
@@ -355,7 +356,7 @@
     relay_fixture f;
     f.add_server(
         "d", "llm", decode,
-        [](const received& to, const event::connection_ptr& link) {
+        [](const received_request& to, const event::connection_ptr& link) {
             link->write(answer_to(to, "oops", 500));
         });
     const caller_view seen = f.ask(prompt("/stream/x"));
@@ -390,7 +391,8 @@
     for (int i = 0; i < 100; ++i)
         policy::note_decode(
             f.context.state.demands["llm"], 0.5, base::milliseconds(100));
-    const script silent = [](const received&, const event::connection_ptr&) {};
+    const script silent = [](const received_request&,
+                             const event::connection_ptr&) {};
     f.add_server("d1", "llm", decode, silent);
     f.add_server("d2", "llm", decode, good_decode());
     traffic::add(f.context.state.loads, "d2", {1, 0.0, 9000.0});
@@ -442,11 +444,12 @@
     f.add_server("p", "llm", prefill, rejecting());
     f.add_server("d", "llm", decode, good_decode());
     event::timer answer(f.owner);
-    f.context.state.on_repeats_low = [&](const std::string&, int) {
+    f.context.state.on_retries_low = [&](const std::string&, int) {
         const base::steady_time asked = f.owner.now();
         answer.start(base::milliseconds(5), [&f, asked] {
             policy::borrow(
-                f.context.state.allowances["llm"], 4, asked, f.owner.now());
+                f.context.state.retry_allowances["llm"], 4, asked,
+                f.owner.now());
         });
     };
     cr_assert(f.ask(prompt("/stream/x")).body == all_events);
@@ -475,7 +478,7 @@
     // the prompt, and then there was no allowance left for the decode.
     relay_fixture f;
     f.context.state.retry_bounds = {0.0, 0.0, base::milliseconds(10000)};
-    const script broken = [](const received&,
+    const script broken = [](const received_request&,
                              const event::connection_ptr& link) {
         link->close();
     };
@@ -492,15 +495,16 @@
     f.context.state.retry_bounds.extra = 0.0;
     f.context.state.retry_bounds.ratio = 0.0;
     event::timer later(f.owner);
-    const script pausing =
-        [&later](const received& to, const event::connection_ptr& link) {
-            link->write(stream_head(to) + http1::chunk(event_text(1)));
-            later.start(base::milliseconds(1500), [link] {
-                link->write(
-                    http1::chunk(event_text(2) + event_text(3)) +
-                    std::string(http1::last_chunk));
-            });
-        };
+    const script pausing = [&later](
+                               const received_request& to,
+                               const event::connection_ptr& link) {
+        link->write(stream_head(to) + http1::chunk(event_text(1)));
+        later.start(base::milliseconds(1500), [link] {
+            link->write(
+                http1::chunk(event_text(2) + event_text(3)) +
+                std::string(http1::last_chunk));
+        });
+    };
     f.add_server("d1", "llm", decode, pausing);
     f.add_server("d2", "llm", decode, pausing);
     const caller_view seen = f.ask(prompt("/resume/x"));
--- a/libs/mintknotd-platform/relay/tests/test_plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_plain_exchange.cpp
@@ -14,25 +14,25 @@
 constexpr auto plain = traffic::engine_phase::none;
 
 script saying(const std::string& body, int status = 200) {
-    return [=](const received& to, const event::connection_ptr& link) {
+    return [=](const received_request& to, const event::connection_ptr& link) {
         link->write(answer_to(to, body, status));
     };
 }
 
 script rejecting() {
-    return [](const received& to, const event::connection_ptr& link) {
+    return [](const received_request& to, const event::connection_ptr& link) {
         link->write(rejection_of(to));
     };
 }
 
 script breaking() {
-    return [](const received&, const event::connection_ptr& link) {
+    return [](const received_request&, const event::connection_ptr& link) {
         link->reset();
     };
 }
 
 script silent() {
-    return [](const received&, const event::connection_ptr&) {};
+    return [](const received_request&, const event::connection_ptr&) {};
 }
 
 /// @return how many requests all servers have seen.
@@ -130,7 +130,7 @@
     relay_fixture f;
     f.add_server(
         "i1", "app", plain,
-        [](const received& to, const event::connection_ptr& link) {
+        [](const received_request& to, const event::connection_ptr& link) {
             link->write(
                 "HTTP/1.1 200 X\r\nId: " + to.field("Id") +
                 "\r\nContent-Length: 3\r\n\r\nbad");
@@ -144,7 +144,7 @@
     relay_fixture f;
     f.add_server(
         "i1", "app", plain,
-        [](const received& to, const event::connection_ptr& link) {
+        [](const received_request& to, const event::connection_ptr& link) {
             link->write(
                 "HTTP/1.1 200 X\r\nId: " + to.field("Id") +
                 "\r\nSeal: s\r\nContent-Encoding: gzip\r\nContent-Length: "
@@ -157,8 +157,8 @@
     relay_fixture f;
     f.add_server(
         "i1", "app", plain,
-        [](const received& to, const event::connection_ptr& link) {
-            received other = to;
+        [](const received_request& to, const event::connection_ptr& link) {
+            received_request other = to;
             other.head.fields = {{"Id", "other"}};
             link->write(answer_to(other, "not yours") + answer_to(to, "yours"));
         });
@@ -170,7 +170,8 @@
         relay_fixture f;
         f.add_server(
             "i1", "app", plain,
-            [orderly](const received& to, const event::connection_ptr& link) {
+            [orderly](
+                const received_request& to, const event::connection_ptr& link) {
                 link->write(
                     "HTTP/1.1 200 X\r\nId: " + to.field("Id") +
                     "\r\nSeal: s\r\n\r\nabc");
@@ -212,7 +213,7 @@
     relay_fixture f;
     scripted_server& server = f.add_server("i1", "app", plain, silent());
     f.ask(request("/safe/x"), [&] { return server.requests.size() == 1; });
-    f.run_until([&] { return server.ended == 1; });
+    f.run_until([&] { return server.closed_connections == 1; });
     cr_assert(f.context.state.open_requests == 0);
     cr_assert(f.context.state.loads.own.empty());
 }
--- a/libs/mintknotd-platform/relay/tests/test_request_digest.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_request_digest.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-Test(request_digest, another_try_of_a_request_has_its_digest) {
+Test(request_digest, retry_of_a_request_has_the_same_digest) {
     const std::string first =
         request_digest("shop", head_of("/a/b", "r1", "h"), "body");
     cr_assert(first.size() == 32);
@@ -26,7 +26,7 @@
         request_digest("shop", head_of("/a/b", "r2", "h"), "body") == first);
 }
 
-Test(request_digest, requests_that_differ_in_a_part_have_other_digests) {
+Test(request_digest, requests_that_differ_have_different_digests) {
     const std::string first =
         request_digest("shop", head_of("/a/b", "r1", "h"), "body");
     const std::string others[] = {
--- a/libs/mintknotd-platform/relay/tests/test_router_state.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_router_state.cpp
@@ -15,10 +15,10 @@
 
 } // namespace
 
-Test(router_state, retries_of_a_peers_earlier_life_count_on) {
+Test(router_state, retries_of_an_earlier_incarnation_still_count) {
     router_state state;
-    note_retries(state, "a", 1, used(7), start);
-    note_retries(state, "a", 2, used(1), start + std::chrono::seconds(5));
+    note_peer_retries(state, "a", 1, used(7), start);
+    note_peer_retries(state, "a", 2, used(1), start + std::chrono::seconds(5));
     const auto fleet =
         fleet_usage_of(state, "llm", start + std::chrono::seconds(5));
     cr_assert(fleet.peers.repeats == 8);
@@ -28,27 +28,27 @@
     cr_assert(later.peers.repeats == 1);
 }
 
-Test(router_state, retries_of_a_silent_peer_count_until_the_window_is_over) {
+Test(router_state, retries_of_a_silent_peer_count_until_the_window_ends) {
     router_state state;
-    note_retries(state, "a", 1, used(7), start);
+    note_peer_retries(state, "a", 1, used(7), start);
     const auto fleet =
         fleet_usage_of(state, "llm", start + std::chrono::seconds(8));
     cr_assert(fleet.peers.repeats == 7);
     cr_assert(fleet.heard == 0);
-    note_retries(state, "b", 1, used(0), start + std::chrono::seconds(20));
+    note_peer_retries(state, "b", 1, used(0), start + std::chrono::seconds(20));
     cr_assert(state.retries_of_peers.size() == 1);
 }
 
-Test(router_state, what_silent_peers_waited_for_is_forgotten) {
+Test(router_state, queued_tokens_of_silent_peers_are_discarded) {
     router_state state;
-    note_waiting(state, "a", {{"llm", 1000.0}}, start);
-    note_waiting(state, "b", {{"llm", 3000.0}}, start);
-    cr_assert(tokens_ahead_elsewhere(state, "llm", start) == 2000.0);
-    cr_assert(tokens_ahead_elsewhere(state, "other", start) == 0.0);
-    note_waiting(state, "b", {}, start);
-    cr_assert(tokens_ahead_elsewhere(state, "llm", start) == 500.0);
+    note_peer_waiting(state, "a", {{"llm", 1000.0}}, start);
+    note_peer_waiting(state, "b", {{"llm", 3000.0}}, start);
+    cr_assert(peer_tokens_ahead(state, "llm", start) == 2000.0);
+    cr_assert(peer_tokens_ahead(state, "other", start) == 0.0);
+    note_peer_waiting(state, "b", {}, start);
+    cr_assert(peer_tokens_ahead(state, "llm", start) == 500.0);
     const base::steady_time later = start + std::chrono::seconds(5);
-    note_waiting(state, "c", {{"llm", 10.0}}, later);
-    cr_assert(tokens_ahead_elsewhere(state, "llm", later) == 5.0);
+    note_peer_waiting(state, "c", {{"llm", 10.0}}, later);
+    cr_assert(peer_tokens_ahead(state, "llm", later) == 5.0);
     cr_assert(state.waiting_of_peers.size() == 1);
 }
--- a/libs/mintknotd-platform/relay/tests/test_server_notices.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_server_notices.cpp
@@ -17,13 +17,13 @@
 
 const server_notice leaving{true, std::nullopt};
 
-/// @return the answer with one more field.
+/// @return the answer with an additional header field.
 std::string with_field(std::string answer, const std::string& field) {
     return answer.insert(answer.find("\r\n") + 2, field + "\r\n");
 }
 
 script leaving_with(const std::string& body, int status = 200) {
-    return [=](const received& to, const event::connection_ptr& link) {
+    return [=](const received_request& to, const event::connection_ptr& link) {
         link->write(with_field(answer_to(to, body, status), "Leaving: 1"));
     };
 }
@@ -34,7 +34,7 @@
 
 } // namespace
 
-Test(server_notices, who_says_in_any_answer_that_it_leaves_gets_nothing_new) {
+Test(server_notices, leaving_notice_in_any_answer_stops_new_requests) {
     for (const int status : {200, 404, 500, 503}) {
         relay_fixture f;
         scripted_server& s =
@@ -47,7 +47,7 @@
     }
 }
 
-Test(server_notices, a_prefill_engine_that_leaves_reads_no_more_prompts) {
+Test(server_notices, leaving_prefill_engine_gets_no_more_prompts) {
     relay_fixture f;
     scripted_server& p =
         f.add_server("p", "llm", prefill, leaving_with("handle k"));
@@ -58,14 +58,14 @@
     cr_assert(p.requests.size() == 1);
 }
 
-Test(server_notices, no_row_of_the_same_life_takes_the_word_back) {
+Test(server_notices, row_of_the_same_incarnation_keeps_a_leaving_notice) {
     relay_fixture f;
     f.add_server("s", "app", plain, leaving_with("x"));
     traffic::server_table& servers = f.context.state.servers;
     traffic::server row = row_of(f, "s");
     row.born = 7;
     traffic::apply(servers, "s", 50, row);
-    take_notice(f.context, "s", leaving);
+    apply_server_notice(f.context, "s", leaving);
     cr_assert(traffic::open_servers(servers, "app").empty());
     traffic::apply(servers, "s", 51, row);
     cr_assert(traffic::open_servers(servers, "app").empty());
@@ -77,7 +77,7 @@
     cr_assert(traffic::open_servers(servers, "app").size() == 1);
 }
 
-Test(server_notices, a_scheduler_that_does_not_know_is_told_whom_to_leave_out) {
+Test(server_notices, placement_query_excludes_leaving_servers) {
     relay_fixture f;
     scripted_server& s = f.add_server("s", "app", plain, leaving_with("x"));
     scripted_server& t = f.add_server("t", "app", plain, leaving_with("y"));
@@ -90,7 +90,7 @@
         return placed;
     });
     f.context.placement = &placer;
-    take_notice(f.context, "s", leaving);
+    apply_server_notice(f.context, "s", leaving);
     cr_assert(f.ask(request("/unsafe/x")).body == "y");
     cr_assert(s.requests.empty());
     cr_assert(t.requests.size() == 1);
@@ -103,11 +103,11 @@
     cr_assert(!query.may_return);
 }
 
-Test(server_notices, an_instance_that_becomes_a_leaf_remembers_the_words) {
+Test(server_notices, leaving_notices_survive_becoming_a_leaf) {
     relay_fixture f;
     f.add_server("s", "app", plain, leaving_with("x"));
     const traffic::server row = row_of(f, "s");
-    take_notice(f.context, "s", leaving);
+    apply_server_notice(f.context, "s", leaving);
     traffic::become_partial(f.context.state.servers);
     traffic::note_named(f.context.state.servers, {row, 99});
     cr_assert(!may_send_to(f.context, row_of(f, "s")));
@@ -116,7 +116,7 @@
 namespace {
 
 script resting_for(int milliseconds) {
-    return [=](const received& to, const event::connection_ptr& link) {
+    return [=](const received_request& to, const event::connection_ptr& link) {
         link->write(with_field(
             rejection_of(to), "Rest: " + std::to_string(milliseconds)));
     };
@@ -124,7 +124,7 @@
 
 } // namespace
 
-Test(server_notices, a_server_that_rests_is_left_alone_and_callers_are_told) {
+Test(server_notices, resting_server_is_skipped_and_callers_get_retry_after) {
     relay_fixture f;
     scripted_server& s = f.add_server("s", "app", plain, resting_for(30000));
     const caller_view first = f.ask(request("/unsafe/x"));
@@ -137,11 +137,12 @@
     cr_assert(s.requests.size() == 1);
 }
 
-Test(server_notices, a_rest_ends_by_itself) {
+Test(server_notices, rest_of_a_server_expires) {
     relay_fixture f;
     scripted_server& s = f.add_server("s", "app", plain, resting_for(150));
     cr_assert(f.ask(request("/unsafe/x")).status == 503);
-    s.behaviour = [](const received& to, const event::connection_ptr& link) {
+    s.behaviour = [](const received_request& to,
+                     const event::connection_ptr& link) {
         link->write(answer_to(to, "ok"));
     };
     const base::steady_time asked = f.owner.now();
@@ -153,11 +154,12 @@
     cr_assert(f.ask(request("/unsafe/x")).status == 200);
 }
 
-Test(server_notices, streams_wait_for_an_engine_that_rests_for_a_moment) {
+Test(server_notices, streams_wait_for_an_engine_with_a_short_rest) {
     relay_fixture f;
     scripted_server& d = f.add_server("d", "llm", decode, resting_for(200));
     int calls = 0;
-    d.behaviour = [&](const received& to, const event::connection_ptr& link) {
+    d.behaviour = [&](const received_request& to,
+                      const event::connection_ptr& link) {
         if (++calls == 1)
             resting_for(200)(to, link);
         else
@@ -170,7 +172,7 @@
 namespace {
 
 script limited_to(const std::string& rate, const std::string& body) {
-    return [=](const received& to, const event::connection_ptr& link) {
+    return [=](const received_request& to, const event::connection_ptr& link) {
         link->write(with_field(answer_to(to, body), "Limit: " + rate));
     };
 }
@@ -223,7 +225,7 @@
     f.add_server("e", "llm", decode, good_decode());
     server_notice notice;
     notice.limit = 3.0;
-    take_notice(f.context, "d", notice);
+    apply_server_notice(f.context, "d", notice);
     for (int i = 0; i < 4; ++i)
         cr_assert(f.ask(request("/stream/x")).status == 200);
     cr_assert(d.requests.empty());
@@ -234,17 +236,17 @@
     f.add_server("s", "app", plain, limited_to("2", "x"));
     server_notice notice;
     notice.limit = 2.0;
-    take_notice(f.context, "s", notice);
+    apply_server_notice(f.context, "s", notice);
     const base::steady_time later = f.owner.now() + base::milliseconds(600);
     f.run_until([&] { return f.owner.now() > later; });
-    take_notice(f.context, "s", {});
+    apply_server_notice(f.context, "s", {});
     cr_assert(policy::limit_of(f.context.state.health.limits, "s") == 2.0);
     server_notice unlimited;
     unlimited.answers_request = true;
     unlimited.malformed_limit = true;
-    take_notice(f.context, "s", unlimited);
+    apply_server_notice(f.context, "s", unlimited);
     cr_assert(policy::limit_of(f.context.state.health.limits, "s") == 2.0);
     unlimited.malformed_limit = false;
-    take_notice(f.context, "s", unlimited);
+    apply_server_notice(f.context, "s", unlimited);
     cr_assert(!policy::limit_of(f.context.state.health.limits, "s"));
 }
--- a/libs/mintknotd-platform/runtime/src/heartbeat_content.cpp
+++ b/libs/mintknotd-platform/runtime/src/heartbeat_content.cpp
@@ -25,11 +25,11 @@
     peers::heartbeat own;
     own.leaving = state.stopping;
     own.data_centre = router.options.data_centre;
-    for (const auto& [service, allowance] : state.allowances)
+    for (const auto& [service, allowance] : state.retry_allowances)
         own.usage[service] = policy::usage(allowance, state.retry_bounds, now);
     if (with_loads)
         own.loads = state.loads.own;
-    own.waiting = router.queue.waiting();
+    own.waiting = router.queue.waiting_tokens();
     own.warnings = policy::own_warnings(state.health, now);
     for (const auto& [id, until] : state.health.ordered_until)
         if (until > now)
@@ -44,8 +44,8 @@
     const base::steady_time now = router.loop.now();
     if (heartbeat.loads)
         traffic::set_peer(state.loads, host, *heartbeat.loads, now);
-    relay::note_waiting(state, host, heartbeat.waiting, now);
-    relay::note_retries(
+    relay::note_peer_waiting(state, host, heartbeat.waiting, now);
+    relay::note_peer_retries(
         state, host, heartbeat.incarnation, heartbeat.usage, now);
     for (const policy::server_warning& change : heartbeat.changes)
         policy::note_peer_change(
--- a/libs/mintknotd-platform/runtime/src/instance.cpp
+++ b/libs/mintknotd-platform/runtime/src/instance.cpp
@@ -92,8 +92,9 @@
         {"blocked_requests", gauge(crashes.blocked())},
         {"servers_ended", gauge(crashes.servers_ended())},
         {"configuration_age_seconds",
-         seconds_or_never(relay::knowledge_of(context).age)},
-        {"servers_age_seconds", seconds_or_never(relay::servers_age(context))},
+         seconds_or_never(relay::configuration_freshness_of(context).age)},
+        {"servers_age_seconds",
+         seconds_or_never(relay::server_table_age(context))},
         {"longest_loop_delay_seconds", seconds_or_never(longest_delay)},
         {"log_lines_left_out", gauge(log.left_out())}};
     for (const auto& [name, value] : gauges)
@@ -125,8 +126,9 @@
 void instance::impl::on_delay(base::milliseconds delay) {
     longest_delay = std::max(longest_delay, delay);
     log.write(
-        "loop_delayed", {{"for_ms", delay.count()},
-                         {"servers_age_ms", relay::servers_age_ms(context)}});
+        "loop_delayed",
+        {{"for_ms", delay.count()},
+         {"servers_age_ms", relay::server_table_age_ms(context)}});
 }
 
 void instance::impl::take(
@@ -143,8 +145,9 @@
         return;
     entry.begin_drain(settings.grace);
     log.write(
-        "stopping", {{"busy", static_cast<std::int64_t>(entry.busy())},
-                     {"grace_ms", settings.grace.count()}});
+        "stopping",
+        {{"busy", static_cast<std::int64_t>(entry.active_requests())},
+         {"grace_ms", settings.grace.count()}});
     group.changed();
     members_of_fleet.leave();
     drain();
@@ -153,7 +156,8 @@
 void instance::impl::drain() {
     const auto since = std::chrono::duration_cast<base::milliseconds>(
         ports.loop.now() - context.state.stop_began);
-    switch (policy::next_drain_step(since, settings.grace, entry.busy())) {
+    switch (policy::next_drain_step(
+        since, settings.grace, entry.active_requests())) {
     case policy::drain_step::serve:
         break;
     case policy::drain_step::close_idle:
@@ -172,8 +176,9 @@
     documents.stop();
     balancer.stop();
     log.write(
-        "stopped", {{"after_ms", since.count()},
-                    {"unfinished", static_cast<std::int64_t>(entry.busy())}});
+        "stopped",
+        {{"after_ms", since.count()},
+         {"unfinished", static_cast<std::int64_t>(entry.active_requests())}});
     drain_timer.start(exit_delay, [this] { ports.loop.stop(); });
 }
 
--- a/libs/mintknotd-platform/runtime/src/instance_group.cpp
+++ b/libs/mintknotd-platform/runtime/src/instance_group.cpp
@@ -172,7 +172,7 @@
         return;
     has_been_large = true;
     documents.use_large_group_pace();
-    context.queue.slow_down(min_question_gap);
+    context.queue.set_min_wake_interval(min_question_gap);
 }
 
 std::string instance::impl::reader_of_demand() const {
--- a/libs/mintknotd-platform/runtime/src/instance_wiring.cpp
+++ b/libs/mintknotd-platform/runtime/src/instance_wiring.cpp
@@ -29,13 +29,15 @@
     , context{ports.loop, pool,     ports.protocol, log,
               metrics,    releases, prober,         settings.relay}
     , entry(context)
-    , readiness(ports.loop, relay::at_once([this](const http1::request_head&) {
-                    return readiness_answer();
-                }))
-    , metrics_server(
-          ports.loop, relay::at_once([this](const http1::request_head&) {
-              return metrics_answer();
+    , readiness(
+          ports.loop,
+          relay::synchronous_handler([this](const http1::request_head&) {
+              return readiness_answer();
           }))
+    , metrics_server(
+          ports.loop,
+          relay::synchronous_handler(
+              [this](const http1::request_head&) { return metrics_answer(); }))
     , peer_server(
           ports.loop,
           [this](const http1::request_head& head, relay::local_reply reply) {
@@ -43,7 +45,7 @@
           })
     , documents(
           {ports.loop, ports.store, ports.codec, pool, log,
-           [this] { return context.draw(); }},
+           [this] { return context.draw_uniform(); }},
           {settings.peer, settings.data_centre, settings.drain_bound,
            settings.configuration_bound,
            [this] { return store_access_here(); }},
@@ -74,21 +76,21 @@
           [this](const instance_settings& fresh, std::string_view cause) {
               take(fresh, cause);
           }) {
-    context.options.named_server_life =
+    context.options.named_server_lifetime =
         policy::named_life(settings.drain_bound);
     context.state.retry_bounds = settings.retry_bounds;
     context.state.instances = policy::assumed_instances(1);
     context.state.started = ports.loop.now();
     context.placement = &placer;
-    relay::follow_server_notices(context);
+    relay::observe_server_notices(context);
     context.limits = &accounts;
     context.crashes = &crashes;
-    context.state.on_repeats_low =
+    context.state.on_retries_low =
         [this](const std::string& service, int repeats) {
             lending.ask(service, repeats);
         };
     context.state.on_limit_received = [this] { server_limits.start_updates(); };
-    context.state.on_order = [this] { group.changed(); };
+    context.state.on_phase_order = [this] { group.changed(); };
     context.state.on_load_change = [this] {
         if (placer.active())
             placer.loads_changed();
@@ -120,11 +122,11 @@
         },
         [this] { on_servers_known(); },
         [this](base::steady_time moment) {
-            context.state.servers_confirmed = moment;
+            context.state.server_table_confirmed = moment;
         },
         [this](const std::string& data_centre, bool closed) {
             traffic::set_closed(context.state.servers, data_centre, closed);
-            context.queue.room_freed();
+            context.queue.notify_capacity_freed();
         }};
 }
 
@@ -141,7 +143,7 @@
         return;
     if (changed)
         policy::end_change(context.state.health, id);
-    context.queue.room_freed();
+    context.queue.notify_capacity_freed();
     if (reborn)
         log.write("server_reborn", {{"server", id}});
     // What an earlier life has shown says nothing of this one.
@@ -149,7 +151,7 @@
         crashes.server_replaced(id);
         pool.drop(id);
         policy::forget(context.state.health, id);
-        policy::forget(context.state.rates, id);
+        policy::forget(context.state.prefill_rates, id);
     }
     if (!placer.active())
         group.changed();
--- a/libs/mintknotd-platform/runtime/src/limit_sharing.cpp
+++ b/libs/mintknotd-platform/runtime/src/limit_sharing.cpp
@@ -162,7 +162,7 @@
     policy::add_borrowed_token(router_.state.health.limits, offer.server, now);
     router_.log.write(
         "token_borrowed", {{"server", offer.server}, {"from", host}});
-    router_.queue.room_freed();
+    router_.queue.notify_capacity_freed();
 }
 
 } // namespace mintknot::runtime
--- a/libs/mintknotd-platform/runtime/src/repeat_lending.cpp
+++ b/libs/mintknotd-platform/runtime/src/repeat_lending.cpp
@@ -55,8 +55,8 @@
     const std::string& host, const loan_request& request) {
     if (!policy::is_large(router_.state.instances))
         return;
-    const auto found = router_.state.allowances.find(request.service);
-    if (found == router_.state.allowances.end())
+    const auto found = router_.state.retry_allowances.find(request.service);
+    if (found == router_.state.retry_allowances.end())
         return;
     const int repeats = policy::lend(
         found->second, router_.state.retry_bounds,
@@ -75,8 +75,8 @@
         return;
     const question& asked = found->second;
     const int taken = policy::borrow(
-        router_.state.allowances[asked.service], offer.repeats, asked.asked,
-        router_.loop.now());
+        router_.state.retry_allowances[asked.service], offer.repeats,
+        asked.asked, router_.loop.now());
     borrowed_ += taken;
     router_.log.write(
         "repeats_borrowed", {{"service", asked.service},
--- a/libs/mintknotd-platform/runtime/tests/test_instance.cpp
+++ b/libs/mintknotd-platform/runtime/tests/test_instance.cpp
@@ -17,11 +17,11 @@
 
 class empty_dialect final : public relay::dialect {
 public:
-    relay::request_terms
+    relay::request_metadata
     read_request(const http1::request_head&) const override {
         return {};
     }
-    relay::answer_terms
+    relay::answer_metadata
     read_answer(const http1::response_head&) const override {
         return {};
     }
@@ -33,30 +33,32 @@
     read_prefill(std::string_view) const override {
         return std::nullopt;
     }
-    http1::request_head outgoing(
+    http1::request_head forwarded_request(
         const http1::request_head& caller,
-        const relay::call_terms&) const override {
+        const relay::call_parameters&) const override {
         return caller;
     }
     http1::request_head
-    release(const std::string&, const std::string&) const override {
+    release_request(const std::string&, const std::string&) const override {
         return {};
     }
     http1::request_head
-    health(const std::string&, const std::string&) const override {
+    health_request(const std::string&, const std::string&) const override {
+        return {};
+    }
+    http1::request_head report_request(const std::string&) const override {
         return {};
     }
-    http1::request_head report(const std::string&) const override { return {}; }
     std::optional<relay::engine_report>
     read_report(std::string_view) const override {
         return std::nullopt;
     }
     relay::own_call
-    order(const relay::phase_order&, const std::string&) const override {
+    order_call(const relay::phase_order&, const std::string&) const override {
         return {};
     }
     std::string
-    result_place(const std::string&, const std::string&) const override {
+    result_location(const std::string&, const std::string&) const override {
         return {};
     }
     http1::field_list own_answer(
--- a/libs/mintknotd-platform/runtime/tests/test_limit_sharing.cpp
+++ b/libs/mintknotd-platform/runtime/tests/test_limit_sharing.cpp
@@ -29,7 +29,8 @@
                }}) {
         f.add_server(
             "s", "app", traffic::engine_phase::none,
-            [](const relay::tests::received&, const event::connection_ptr&) {});
+            [](const relay::tests::received_request&,
+               const event::connection_ptr&) {});
         f.context.state.on_limit_received = [this] { sharing.start_updates(); };
     }
 
@@ -39,7 +40,7 @@
         relay::server_notice notice;
         notice.limit = rate;
         notice.answers_request = true;
-        relay::take_notice(f.context, "s", notice);
+        relay::apply_server_notice(f.context, "s", notice);
     }
 
     template<class Message> std::vector<Message> messages() const {
--- a/libs/mintknotd-platform/runtime/tests/test_repeat_lending.cpp
+++ b/libs/mintknotd-platform/runtime/tests/test_repeat_lending.cpp
@@ -30,7 +30,7 @@
         f.context.state.instances = 100;
         f.context.state.retry_bounds = {0.2, 1000.0, base::milliseconds(10000)};
         f.context.state.started = f.owner.now() - std::chrono::hours(1);
-        f.context.state.on_repeats_low =
+        f.context.state.on_retries_low =
             [this](const std::string& service, int repeats) {
                 lending.ask(service, repeats);
             };
@@ -39,7 +39,7 @@
     /// Spends until nothing is left. @return how many repeats.
     int spend_all() {
         int spent = 0;
-        while (spent < 1000 && relay::spend_repeat(f.context, "s"))
+        while (spent < 1000 && relay::spend_retry(f.context, "s"))
             ++spent;
         return spent;
     }
@@ -79,10 +79,10 @@
 
 Test(repeat_lending, half_of_what_is_left_is_lent) {
     fixture f;
-    cr_assert(f.f.context.state.allowances.empty());
+    cr_assert(f.f.context.state.retry_allowances.empty());
     f.lending.receive("p", encode(loan_request{7, "s", 8}));
     cr_assert(f.sent.empty(), "lent repeats of an unknown service");
-    cr_assert(relay::spend_repeat(f.f.context, "s"));
+    cr_assert(relay::spend_retry(f.f.context, "s"));
     f.lending.receive("p", encode(loan_request{7, "s", 8}));
     cr_assert(f.sent.size() == 1 && f.sent[0].host == "p");
     const auto offer = std::get<loan_offer>(f.sent[0].value);
--- a/libs/mintknotd-platform/scheduling/src/load_reporter.cpp
+++ b/libs/mintknotd-platform/scheduling/src/load_reporter.cpp
@@ -141,9 +141,10 @@
     if (reports.empty())
         return;
     std::vector<observed_rate> rates;
-    for (const std::string& id : context_.state.rates.fresh)
-        rates.push_back({id, policy::rate_of(context_.state.rates, id)});
-    context_.state.rates.fresh.clear();
+    for (const std::string& id : context_.state.prefill_rates.fresh)
+        rates.push_back(
+            {id, policy::rate_of(context_.state.prefill_rates, id)});
+    context_.state.prefill_rates.fresh.clear();
     for (auto& [host, entry] : reports) {
         entry.report.avoided = avoided;
         entry.report.rates = rates;
--- a/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
@@ -169,7 +169,7 @@
         if (service == nullptr)
             return {};
         policy::selection_inputs inputs =
-            relay::selection_for(context, *service);
+            relay::make_selection_inputs(context, *service);
         inputs.only_data_centre = which.data_centre;
         inputs.own_data_centre = query.data_centre;
         inputs.all_loads_known = exact;
@@ -246,7 +246,8 @@
                 context.state.health, server.server_id, now() + server.left,
                 now());
         for (const observed_rate& observed : report.rates)
-            policy::note_rate(context.state.rates, observed.id, observed.rate);
+            policy::note_rate(
+                context.state.prefill_rates, observed.id, observed.rate);
         policy::note_peer_results(context.state.health, report.results, now());
     }
 
--- a/testing/compatibility/test_router.cpp
+++ b/testing/compatibility/test_router.cpp
@@ -143,28 +143,35 @@
 }
 
 std::string outgoing_calls(const platform::protocol& protocol) {
-    relay::call_terms whole;
+    relay::call_parameters whole;
     whole.server_id = "i-1";
     whole.time_left = base::milliseconds(1234);
-    relay::call_terms prefill = whole;
+    relay::call_parameters prefill = whole;
     prefill.stage = relay::call_stage::prefill;
-    relay::call_terms resumed = whole;
+    relay::call_parameters resumed = whole;
     resumed.prefill_result =
-        protocol.result_place("127.0.0.1:9000", "handle-1");
+        protocol.result_location("127.0.0.1:9000", "handle-1");
     resumed.resume_after = 41;
     const http1::request_head caller = caller_request();
-    return titled("whole call", as_text(protocol.outgoing(caller, whole))) +
-           titled("prefill", as_text(protocol.outgoing(caller, prefill))) +
+    return titled(
+               "whole call",
+               as_text(protocol.forwarded_request(caller, whole))) +
            titled(
-               "resumed decode", as_text(protocol.outgoing(caller, resumed)));
+               "prefill",
+               as_text(protocol.forwarded_request(caller, prefill))) +
+           titled(
+               "resumed decode",
+               as_text(protocol.forwarded_request(caller, resumed)));
 }
 
 std::string own_calls(const platform::protocol& protocol) {
-    const relay::own_call order = protocol.order(
+    const relay::own_call order = protocol.order_call(
         {traffic::engine_phase::prefill, "holder/1", 17, 3}, "i-1");
-    return titled("release", as_text(protocol.release("handle-1", "i-1"))) +
-           titled("health", as_text(protocol.health("/up", "i-1"))) +
-           titled("report", as_text(protocol.report("i-1"))) +
+    return titled(
+               "release",
+               as_text(protocol.release_request("handle-1", "i-1"))) +
+           titled("health", as_text(protocol.health_request("/up", "i-1"))) +
+           titled("report", as_text(protocol.report_request("i-1"))) +
            titled("order", as_text(order.head) + order.body + "\n") +
            titled(
                "own answer",
@@ -218,7 +225,7 @@
           policy::call_result::silent, policy::call_result::slow,
           policy::call_result::misdirected})
         metrics.count_call(result);
-    metrics.count_repeat("server_failure");
+    metrics.count_retry("server_failure");
     metrics.set_gauge("ready", 1.0);
     return metrics.text();
 }
--- a/testing/soak/src/platform_engine_main.cpp
+++ b/testing/soak/src/platform_engine_main.cpp
@@ -29,7 +29,7 @@
 namespace {
 
 using namespace mintknot;
-using relay::tests::received;
+using relay::tests::received_request;
 
 constexpr base::milliseconds heartbeat{300};
 constexpr base::milliseconds work_time{15};
@@ -78,9 +78,8 @@
         , server_(
               owner,
               [this](
-                  const received& request, const event::connection_ptr& link) {
-                  serve(request, link);
-              })
+                  const received_request& request,
+                  const event::connection_ptr& link) { serve(request, link); })
         , ledger_(::open(
               options_.ledger.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644)) {}
 
@@ -154,7 +153,8 @@
         beat_timer_.start(heartbeat, [this] { beat(); });
     }
 
-    void serve(const received& request, const event::connection_ptr& link) {
+    void
+    serve(const received_request& request, const event::connection_ptr& link) {
         const std::string id = request.field("X-Mintknot-Request-Id");
         if (request.head.target == "/health") {
             reply(link, 200, {{"X-Mintknot-Instance-Id", options_.id}}, "ok");
@@ -287,7 +287,7 @@
     }
 
     void run_decode(
-        const received& request, const std::string& id,
+        const received_request& request, const std::string& id,
         const event::connection_ptr& link) {
         note("run", id);
         const std::string result = request.field("X-Mintknot-Kv-Source");
--- a/testing/soak/src/platform_store_main.cpp
+++ b/testing/soak/src/platform_store_main.cpp
@@ -65,7 +65,7 @@
         , timer_(owner)
         , server_(
               owner, [this](
-                         const relay::tests::received& request,
+                         const relay::tests::received_request& request,
                          const event::connection_ptr& link) {
                   serve(request, link);
               }) {}
@@ -127,7 +127,7 @@
     }
 
     void serve(
-        const relay::tests::received& request,
+        const relay::tests::received_request& request,
         const event::connection_ptr& link) {
         const std::string& target = request.head.target;
         auto query = query_of(target);
