--- a/libs/mintknotd-platform/crashes/src/crash_detector.cpp
+++ b/libs/mintknotd-platform/crashes/src/crash_detector.cpp
@@ -73,7 +73,7 @@
     tracked.check = std::make_unique<liveness_check>(
         router_.loop, router_.pool, wanted->server);
     tracked.check->start(
-        router_.protocol.health(wanted->path, id),
+        router_.protocol.health_request(wanted->path, id),
         [this, id](liveness_verdict found) {
             // Posted, because on_verdict() destroys the check, which is running
             // now.
--- a/libs/mintknotd-platform/crashes/tests/test_crash_watch.cpp
+++ b/libs/mintknotd-platform/crashes/tests/test_crash_watch.cpp
@@ -59,7 +59,7 @@
         traffic::engine_phase phase, script good) {
         scripted_server& server = add_server(id, service, phase, {});
         server.behaviour = [this, &server, good = std::move(good)](
-                               const received& to,
+                               const received_request& to,
                                const event::connection_ptr& link) {
             if (!to.head.target.ends_with("/crash")) {
                 good(to, link);
@@ -95,7 +95,7 @@
 };
 
 script ok() {
-    return [](const received& to, const event::connection_ptr& link) {
+    return [](const received_request& to, const event::connection_ptr& link) {
         link->write(answer_to(to, "ok"));
     };
 }
@@ -142,7 +142,7 @@
 
 Test(crash_watch, lost_connection_to_live_server_blocks_nothing) {
     crash_watch_fixture f;
-    const script resetting = [](const received& to,
+    const script resetting = [](const received_request& to,
                                 const event::connection_ptr& link) {
         if (to.head.target == "/health")
             link->write(answer_to(to, "ok"));
@@ -241,7 +241,7 @@
     f.add_crashing_server("d1", "llm", decode, good_decode());
     f.add_server(
         "p1", "llm", prefill,
-        [&](const received& to, const event::connection_ptr& link) {
+        [&](const received_request& to, const event::connection_ptr& link) {
             const auto digest = relay::request_digest("", to.head, to.body);
             f.watch.receive(
                 "evaluator",
--- a/libs/mintknotd-platform/crashes/tests/test_liveness_check.cpp
+++ b/libs/mintknotd-platform/crashes/tests/test_liveness_check.cpp
@@ -18,7 +18,7 @@
     liveness_check checking(f.owner, f.pool, {id, server->where});
     std::optional<liveness_verdict> found;
     checking.start(
-        f.protocol.health("/health", id),
+        f.protocol.health_request("/health", id),
         [&](liveness_verdict verdict) { found = verdict; });
     f.run_until([&] { return found.has_value(); });
     return *found;
@@ -32,7 +32,7 @@
     relay_fixture f;
     f.add_server(
         "s", "app", plain,
-        [](const received& to, const event::connection_ptr& link) {
+        [](const received_request& to, const event::connection_ptr& link) {
             link->write(answer_to(to, "busy", 503));
         });
     cr_assert(check(f, "s") == liveness_verdict::alive);
@@ -49,7 +49,7 @@
     int calls = 0;
     f.add_server(
         "s", "app", plain,
-        [&](const received& to, const event::connection_ptr& link) {
+        [&](const received_request& to, const event::connection_ptr& link) {
             if (++calls == 1)
                 link->reset();
             else
@@ -63,6 +63,6 @@
     relay_fixture f;
     f.add_server(
         "s", "app", plain,
-        [](const received&, const event::connection_ptr&) {});
+        [](const received_request&, const event::connection_ptr&) {});
     cr_assert(check(f, "s") == liveness_verdict::unknown);
 }
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/exchange.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/exchange.hpp
@@ -20,7 +20,7 @@
 struct caller_request {
     http1::request_head head;
     std::shared_ptr<const std::string> body;
-    request_terms terms;
+    request_metadata terms;
     base::steady_time arrived;
     /// The organisation that the caller's key belongs to, in the configuration
     /// that the request was routed by; null if there is none.
@@ -128,8 +128,8 @@
     bool is_answer_to_request(const http1::response_head& head) const;
 
     std::string organisation_name() const; ///< Empty if none.
-    call_terms call_options_for(const traffic::server& server) const;
-    upstream::call_request call_for(const call_terms& options) const;
+    call_parameters call_options_for(const traffic::server& server) const;
+    upstream::call_request call_for(const call_parameters& options) const;
 
     router_context& context_;
     answer_sink& sink_;
--- a/libs/mintknotd-platform/relay/src/generation_decode.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_decode.cpp
@@ -59,7 +59,7 @@
 bool generation_exchange::placement_expired() const {
     return context_.state.servers.partial &&
            context_.loop.now() - decode_.placed_at >
-               context_.options.named_server_life;
+               context_.options.named_server_lifetime;
 }
 
 void generation_exchange::log_decode() const {
@@ -71,13 +71,13 @@
                    {"with_result", decode_.used_result},
                    {"placed_by", placed_by_},
                    {"send", std::int64_t{sends_}},
-                   {"servers_age_ms", servers_age_ms(context_)},
+                   {"servers_age_ms", server_table_age_ms(context_)},
                    {"config", static_cast<std::int64_t>(config_->version)},
                    {"after_ms", since_arrival().count()}});
 }
 
 void generation_exchange::send_decode(const traffic::server& engine) {
-    call_terms options = call_options_for(engine);
+    call_parameters options = call_options_for(engine);
     options.resume_after = last_event_;
     if (decode_.used_result)
         options.prefill_result = kept_.location;
@@ -187,7 +187,7 @@
     // Bytes after the last complete event still belong to the body.
     forward_events(decode_.splitter.rest);
     decode_.splitter.rest.clear();
-    note_result(
+    note_call_result(
         context_, decode_.server, policy::call_result::good, request_.terms.id);
     record_complete_answer();
     record_demand();
--- a/libs/mintknotd-platform/relay/src/generation_prefill.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_prefill.cpp
@@ -18,8 +18,8 @@
     const traffic::server& engine, double ahead) {
     const double tokens = request_.terms.prompt_tokens;
     prefill_.tokens_ahead = ahead;
-    prefill_.expected =
-        policy::read_time(context_.state.rates, engine.id, ahead + tokens);
+    prefill_.expected = policy::read_time(
+        context_.state.prefill_rates, engine.id, ahead + tokens);
     prefill_.server = engine.id;
     prefill_.tried.insert(engine.id);
     prefill_.started_at = context_.loop.now();
@@ -29,7 +29,7 @@
     record_send();
     add_load(context_, prefill_.server, {1, tokens, 0.0});
     log_prefill();
-    call_terms options = call_options_for(engine);
+    call_parameters options = call_options_for(engine);
     options.stage = call_stage::prefill;
     kept_ = {};
     kept_.location = base::to_string(engine.where);
@@ -63,7 +63,7 @@
                     {"tokens", request_.terms.prompt_tokens},
                     {"expected_ms", prefill_.expected.count()},
                     {"try", std::int64_t{attempts_.prefills}},
-                    {"servers_age_ms", servers_age_ms(context_)},
+                    {"servers_age_ms", server_table_age_ms(context_)},
                     {"config", static_cast<std::int64_t>(config_->version)}});
 }
 
@@ -94,7 +94,7 @@
     }
     record_prefill_time(std::chrono::duration_cast<base::milliseconds>(
         context_.loop.now() - prefill_.started_at));
-    note_result(
+    note_call_result(
         context_, prefill_.server, policy::call_result::good,
         request_.terms.id);
     policy::note_prefill_end(charges_, policy::call_result::good);
@@ -106,8 +106,8 @@
 void generation_exchange::record_prefill_time(base::milliseconds duration) {
     const double tokens = request_.terms.prompt_tokens;
     policy::note_read(
-        context_.state.rates, prefill_.server, tokens + prefill_.tokens_ahead,
-        duration);
+        context_.state.prefill_rates, prefill_.server,
+        tokens + prefill_.tokens_ahead, duration);
     if (prefill_.tokens_ahead <= 0.0)
         policy::note_read_alone(
             context_.state.demands[service_.name], tokens, duration);
@@ -117,7 +117,7 @@
     kept_.server = prefill_.server;
     kept_.handle = result.handle;
     kept_.location =
-        context_.protocol.result_place(kept_.location, result.handle);
+        context_.protocol.result_location(kept_.location, result.handle);
     kept_.expires_at =
         context_.loop.now() + policy::usable_life(service_.engine->handle_life);
 }
@@ -138,7 +138,7 @@
 
 void generation_exchange::after_failed_prefill(
     policy::call_result result, std::string_view reason) {
-    note_result(context_, prefill_.server, result, request_.terms.id);
+    note_call_result(context_, prefill_.server, result, request_.terms.id);
     policy::note_prefill_end(charges_, result);
     context_.log.write(
         "prefill_again", {{"request", request_.terms.id},
@@ -146,7 +146,7 @@
                           {"reason", reason},
                           {"after_ms", since_arrival().count()}});
     end_prefill();
-    context_.metrics.count_repeat(reason);
+    context_.metrics.count_retry(reason);
     place();
 }
 
--- a/libs/mintknotd-platform/relay/src/plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.cpp
@@ -90,7 +90,7 @@
                  {"server", server_},
                  {"placed_by", placed_by},
                  {"send", std::int64_t{sends_}},
-                 {"servers_age_ms", servers_age_ms(context_)},
+                 {"servers_age_ms", server_table_age_ms(context_)},
                  {"config", static_cast<std::int64_t>(config_->version)},
                  {"left_ms", time_left().count()}});
     call_ = upstream::call::start(
@@ -160,7 +160,7 @@
         const std::string server = server_;
         release_load();
         call_.reset();
-        note_result(
+        note_call_result(
             context_, server, policy::call_result::good, request_.terms.id);
         record_complete_answer();
         end_answer("answered");
@@ -202,20 +202,20 @@
     const std::string server = server_;
     release_load();
     call_.reset();
-    note_result(context_, server, result, request_.terms.id);
+    note_call_result(context_, server, result, request_.terms.id);
     apply_step(next_step(end));
 }
 
 void plain_exchange::on_silence() {
-    note_result(
+    note_call_result(
         context_, server_, policy::call_result::slow, request_.terms.id);
     const policy::next_step step = next_step(policy::call_end::silent);
     if (step.what == policy::action::keep_waiting ||
-        !spend_repeat(context_, service_.name))
+        !spend_retry(context_, service_.name))
         return;
     raise_verdict(base::verdict::may_have_run);
     cancel_calls();
-    context_.metrics.count_repeat(step.reason);
+    context_.metrics.count_retry(step.reason);
     place();
 }
 
@@ -231,11 +231,11 @@
         return;
     }
     if (step.costs_repeat) {
-        if (!spend_repeat(context_, service_.name)) {
+        if (!spend_retry(context_, service_.name)) {
             end_with_step(step.otherwise, step);
             return;
         }
-        context_.metrics.count_repeat(step.reason);
+        context_.metrics.count_retry(step.reason);
     }
     place();
 }
@@ -247,7 +247,7 @@
         return;
     }
     if (step.server_out_of_reach) {
-        give_up(step.reason, return_after_outage(context_, service_.name));
+        give_up(step.reason, outage_retry_after(context_, service_.name));
         return;
     }
     end_with_action(
--- a/libs/mintknotd-platform/relay/tests/relay_fixture.hpp
+++ b/libs/mintknotd-platform/relay/tests/relay_fixture.hpp
@@ -23,24 +23,27 @@
 /// A dialect with short header names.
 class test_dialect final : public dialect {
 public:
-    request_terms read_request(const http1::request_head& head) const override;
-    answer_terms read_answer(const http1::response_head& head) const override;
+    request_metadata
+    read_request(const http1::request_head& head) const override;
+    answer_metadata
+    read_answer(const http1::response_head& head) const override;
     server_notice read_notice(const http1::response_head& head) const override;
     std::optional<prefill_result>
     read_prefill(std::string_view body) const override;
-    http1::request_head outgoing(
+    http1::request_head forwarded_request(
         const http1::request_head& caller,
-        const call_terms& terms) const override;
-    http1::request_head release(
+        const call_parameters& terms) const override;
+    http1::request_head release_request(
         const std::string& handle, const std::string& server_id) const override;
-    http1::request_head health(
+    http1::request_head health_request(
         const std::string& path, const std::string& server_id) const override;
-    http1::request_head report(const std::string& server_id) const override;
+    http1::request_head
+    report_request(const std::string& server_id) const override;
     std::optional<engine_report>
     read_report(std::string_view body) const override;
-    own_call order(
+    own_call order_call(
         const phase_order& value, const std::string& server_id) const override;
-    std::string result_place(
+    std::string result_location(
         const std::string& server_address,
         const std::string& handle) const override;
     http1::field_list own_answer(
@@ -108,10 +111,10 @@
 request(const std::string& path, const std::string& fields = "Id: r1\r\n");
 
 /// @return an answer to the request that carries the server's signature.
-std::string
-answer_to(const received& to, const std::string& body, int status = 200);
+std::string answer_to(
+    const received_request& to, const std::string& body, int status = 200);
 /// @return an answer that states that the request has not run.
-std::string rejection_of(const received& to);
+std::string rejection_of(const received_request& to);
 
 /// @return a prefill engine that answers with the handle of a result.
 script good_prefill(const std::string& handle);
@@ -121,7 +124,7 @@
 /// @return the text of the event with the given ID.
 std::string event_text(int id);
 /// @return the head of an event stream that answers the request.
-std::string stream_head(const received& to);
+std::string stream_head(const received_request& to);
 
 } // namespace mintknot::relay::tests
 
--- a/libs/mintknotd-platform/relay/tests/test_generation_exchange.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_generation_exchange.cpp
@@ -19,7 +19,7 @@
 const std::string all_events = event_text(1) + event_text(2) + event_text(3);
 
 script rejecting() {
-    return [](const received& to, const event::connection_ptr& link) {
+    return [](const received_request& to, const event::connection_ptr& link) {
         link->write(rejection_of(to));
     };
 }
@@ -27,14 +27,15 @@
 /// Sends one event and a part of the next, then resets or closes the
 /// connection.
 script interrupting(bool reset) {
-    return [reset](const received& to, const event::connection_ptr& link) {
-        link->write(
-            stream_head(to) + http1::chunk(event_text(1) + "id: 2\nda"));
-        if (reset)
-            link->reset();
-        else
-            link->close();
-    };
+    return
+        [reset](const received_request& to, const event::connection_ptr& link) {
+            link->write(
+                stream_head(to) + http1::chunk(event_text(1) + "id: 2\nda"));
+            if (reset)
+                link->reset();
+            else
+                link->close();
+        };
 }
 
 std::string prompt(const std::string& path, int tokens = 100) {
@@ -63,7 +64,7 @@
     generation_exchange,
     a_failed_prefill_is_retried_for_non_resumable_streams) {
     relay_fixture f;
-    const script broken = [](const received&,
+    const script broken = [](const received_request&,
                              const event::connection_ptr& link) {
         link->reset();
     };
@@ -92,7 +93,7 @@
     scripted_server& d1 = f.add_server("d1", "llm", decode, rejecting());
     scripted_server& d2 = f.add_server("d2", "llm", decode, rejecting());
     int rejected = 0;
-    const script first_rejects = [&](const received& to,
+    const script first_rejects = [&](const received_request& to,
                                      const event::connection_ptr& link) {
         if (++rejected == 1)
             link->write(rejection_of(to));
@@ -126,7 +127,7 @@
         relay_fixture f;
         f.add_server("p", "llm", prefill, good_prefill("k1"));
         bool broken = false;
-        const script first_breaks = [&](const received& to,
+        const script first_breaks = [&](const received_request& to,
                                         const event::connection_ptr& link) {
             if (!broken) {
                 broken = true;
@@ -273,7 +274,7 @@
         const script answer = good_prefill("k1");
         f.add_server(
             "p", "llm", prefill,
-            [&](const received& to, const event::connection_ptr& link) {
+            [&](const received_request& to, const event::connection_ptr& link) {
                 prefill_timer.start(
                     prefill_duration, [&leaves, answer, to, link] {
                         leaves = true;
@@ -283,13 +284,13 @@
         int after_leaving = 0;
         f.add_server(
             "leaves", "llm", decode,
-            [&](const received& to, const event::connection_ptr& link) {
+            [&](const received_request& to, const event::connection_ptr& link) {
                 after_leaving += leaves ? 1 : 0;
                 good_decode()(to, link);
             });
         f.add_server("stays", "llm", decode, good_decode());
         f.context.placement = &scheduler;
-        f.context.options.named_server_life = prefill_duration / 2;
+        f.context.options.named_server_lifetime = prefill_duration / 2;
         f.context.state.servers.partial = partial;
         cr_assert(f.ask(prompt("/stream/x")).body == all_events);
         // An instance with server rows would have learned it from them, so that
@@ -336,11 +337,11 @@
     f.add_server("p", "llm", prefill, good_prefill("k1"));
     scripted_server& d = f.add_server(
         "d", "llm", decode,
-        [](const received& to, const event::connection_ptr& link) {
+        [](const received_request& to, const event::connection_ptr& link) {
             link->write(stream_head(to) + http1::chunk(event_text(1)));
         });
     f.ask(prompt("/stream/x"), [&] { return d.requests.size() == 1; });
-    f.run_until([&] { return d.ended == 1; });
+    f.run_until([&] { return d.closed_connections == 1; });
     cr_assert(f.context.state.loads.own.empty());
 }
 
@@ -368,7 +369,7 @@
     relay_fixture f;
     f.add_server(
         "d", "llm", decode,
-        [](const received& to, const event::connection_ptr& link) {
+        [](const received_request& to, const event::connection_ptr& link) {
             link->write(answer_to(to, "oops", 500));
         });
     const caller_view seen = f.ask(prompt("/stream/x"));
@@ -405,7 +406,8 @@
     for (int i = 0; i < 100; ++i)
         policy::note_decode(
             f.context.state.demands["llm"], 0.5, base::milliseconds(100));
-    const script silent = [](const received&, const event::connection_ptr&) {};
+    const script silent = [](const received_request&,
+                             const event::connection_ptr&) {};
     f.add_server("d1", "llm", decode, silent);
     f.add_server("d2", "llm", decode, good_decode());
     traffic::add(f.context.state.loads, "d2", {1, 0.0, 9000.0});
@@ -461,11 +463,11 @@
     f.add_server("p", "llm", prefill, rejecting());
     f.add_server("d", "llm", decode, good_decode());
     event::timer answer(f.owner);
-    f.context.state.on_repeats_low = [&](const std::string&, int) {
+    f.context.state.on_retries_low = [&](const std::string&, int) {
         const base::steady_time requested_at = f.owner.now();
         answer.start(base::milliseconds(5), [&f, requested_at] {
             policy::borrow(
-                f.context.state.allowances["llm"], 4, requested_at,
+                f.context.state.retry_allowances["llm"], 4, requested_at,
                 f.owner.now());
         });
     };
@@ -495,7 +497,7 @@
     // retry allowance was left for the decode.
     relay_fixture f;
     f.context.state.retry_bounds = {0.0, 0.0, base::milliseconds(10000)};
-    const script broken = [](const received&,
+    const script broken = [](const received_request&,
                              const event::connection_ptr& link) {
         link->close();
     };
@@ -512,15 +514,16 @@
     f.context.state.retry_bounds.extra = 0.0;
     f.context.state.retry_bounds.ratio = 0.0;
     event::timer later(f.owner);
-    const script pausing =
-        [&later](const received& to, const event::connection_ptr& link) {
-            link->write(stream_head(to) + http1::chunk(event_text(1)));
-            later.start(base::milliseconds(1500), [link] {
-                link->write(
-                    http1::chunk(event_text(2) + event_text(3)) +
-                    std::string(http1::last_chunk));
-            });
-        };
+    const script pausing = [&later](
+                               const received_request& to,
+                               const event::connection_ptr& link) {
+        link->write(stream_head(to) + http1::chunk(event_text(1)));
+        later.start(base::milliseconds(1500), [link] {
+            link->write(
+                http1::chunk(event_text(2) + event_text(3)) +
+                std::string(http1::last_chunk));
+        });
+    };
     f.add_server("d1", "llm", decode, pausing);
     f.add_server("d2", "llm", decode, pausing);
     const caller_view seen = f.ask(prompt("/resume/x"));
