--- a/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
@@ -110,7 +110,7 @@
     std::function<void()> on_load_added;
     /// Called when this instance may soon need that many more retries for a
     /// service than its allowance holds.
-    std::function<void(const std::string& service, int repeats)> on_retries_low;
+    std::function<void(const std::string& service, int retries)> on_retries_low;
     /// Servers for which a malformed limit has already been logged.
     std::set<std::string> malformed_limits;
     /// Called when an answer of a server contains a rate limit.
--- a/libs/mintknotd-platform/relay/src/caller_session.hpp
+++ b/libs/mintknotd-platform/relay/src/caller_session.hpp
@@ -15,8 +15,8 @@
 namespace mintknot::relay {
 
 /// Reads requests from a connection and answers them strictly in order. Reading
-/// continues while a request is answered, so that a disconnect of the caller is
-/// noticed immediately.
+/// continues while a request is answered, up to a bounded number of buffered
+/// bytes, so that a disconnect of the caller is noticed immediately.
 class caller_session final
     : public answer_sink,
       public std::enable_shared_from_this<caller_session> {
--- a/libs/mintknotd-platform/relay/src/relay_metrics.cpp
+++ b/libs/mintknotd-platform/relay/src/relay_metrics.cpp
@@ -48,7 +48,7 @@
             .Name("mintknot_calls_total")
             .Help("Calls to backend servers by result.")
             .Register(registry);
-    prometheus::Family<prometheus::Counter>& repeats =
+    prometheus::Family<prometheus::Counter>& retries =
         prometheus::BuildCounter()
             .Name("mintknot_repeats_total")
             .Help("Requests sent again, by reason.")
@@ -97,7 +97,7 @@
 }
 
 void relay_metrics::count_retry(std::string_view reason) {
-    impl_->repeats.Add({{"reason", std::string(reason)}}).Increment();
+    impl_->retries.Add({{"reason", std::string(reason)}}).Increment();
 }
 
 void relay_metrics::observe_server_table_age(base::milliseconds age) {
--- a/libs/mintknotd-platform/relay/src/router_state.cpp
+++ b/libs/mintknotd-platform/relay/src/router_state.cpp
@@ -214,9 +214,10 @@
     const policy::retry_bounds& bounds = context.state.retry_bounds;
     const policy::spend_terms terms = spend_terms_for(context, service);
     const bool allowed = policy::spend(allowance, bounds, terms, now);
-    const int wanted = policy::repeats_to_borrow(allowance, bounds, terms, now);
-    if (wanted > 0 && context.state.on_retries_low)
-        context.state.on_retries_low(service, wanted);
+    const int missing =
+        policy::repeats_to_borrow(allowance, bounds, terms, now);
+    if (missing > 0 && context.state.on_retries_low)
+        context.state.on_retries_low(service, missing);
     return allowed;
 }
 
