--- a/libs/mintknotd-platform/crashes/src/crash_messages.cpp
+++ b/libs/mintknotd-platform/crashes/src/crash_messages.cpp
@@ -49,7 +49,7 @@
 
 json to_json(const block_notice& value) {
     json blocks = json::array();
-    for (const policy::block_news& block : value.blocks)
+    for (const policy::block_entry& block : value.blocks)
         blocks.push_back(
             {block.key.digest, block.key.body_bytes, block.left.count(),
              block.times});
--- a/libs/mintknotd-platform/crashes/src/crash_messages.hpp
+++ b/libs/mintknotd-platform/crashes/src/crash_messages.hpp
@@ -29,7 +29,7 @@
 
 /// Requests that are refused.
 struct block_notice {
-    std::vector<policy::block_news> blocks;
+    std::vector<policy::block_entry> blocks;
 };
 
 /// A server has given a whole answer to a request.
--- a/libs/mintknotd-platform/crashes/src/crash_watch.cpp
+++ b/libs/mintknotd-platform/crashes/src/crash_watch.cpp
@@ -89,22 +89,22 @@
     }
 
     void plan_judgement() {
-        const auto due = policy::next_judgement(evidence);
+        const auto due = policy::next_evaluation(evidence);
         if (due)
             judge_timer.start(*due, [this] { judge(); });
     }
 
     void judge() {
         policy::expire(evidence, now());
-        const std::vector<policy::block_news> fresh =
-            policy::judge(evidence, now());
-        for (const policy::block_news& block : fresh)
+        const std::vector<policy::block_entry> fresh =
+            policy::evaluate_suspects(evidence, now());
+        for (const policy::block_entry& block : fresh)
             log_block(block, ports.own_host);
         announce(fresh);
         plan_judgement();
     }
 
-    void log_block(const policy::block_news& block, const std::string& by) {
+    void log_block(const policy::block_entry& block, const std::string& by) {
         router.log.write(
             "request_blocked", {{"digest", block.key.digest},
                                 {"for_ms", block.left.count()},
@@ -113,7 +113,7 @@
     }
 
     /// Tells everybody, and from now on some of them again and again.
-    void announce(const std::vector<policy::block_news>& fresh) {
+    void announce(const std::vector<policy::block_entry>& fresh) {
         for (std::size_t i = 0; i < fresh.size(); i += max_entries) {
             const auto begin = fresh.begin() + static_cast<std::ptrdiff_t>(i);
             const auto end = begin + static_cast<std::ptrdiff_t>(std::min(
@@ -128,7 +128,8 @@
 
     void remind() {
         policy::expire(evidence, now());
-        std::vector<policy::block_news> known = policy::blocks(evidence, now());
+        std::vector<policy::block_entry> known =
+            policy::blocks(evidence, now());
         if (known.empty())
             return;
         if (known.size() > max_entries) {
@@ -156,8 +157,8 @@
     }
 
     void on_message(const std::string& host, const block_notice& notice) {
-        std::vector<policy::block_news> fresh;
-        for (const policy::block_news& block : notice.blocks) {
+        std::vector<policy::block_entry> fresh;
+        for (const policy::block_entry& block : notice.blocks) {
             if (policy::recently_cleared(evidence, block.key.digest, now())) {
                 ports.send(host, encode(clear_notice{block.key.digest}));
                 continue;
--- a/libs/mintknotd-platform/crashes/tests/test_crash_messages.cpp
+++ b/libs/mintknotd-platform/crashes/tests/test_crash_messages.cpp
@@ -25,7 +25,7 @@
     const auto blocks = decode_crash_message(
         encode(block_notice{{{{"d1", 10}, base::milliseconds(5), 2}}}));
     cr_assert(blocks.ok());
-    const policy::block_news& block =
+    const policy::block_entry& block =
         std::get<block_notice>(*blocks).blocks.at(0);
     cr_assert(block.key.digest == "d1");
     cr_assert(block.left == base::milliseconds(5));
--- a/libs/mintknotd-platform/limits/src/group_tracker.cpp
+++ b/libs/mintknotd-platform/limits/src/group_tracker.cpp
@@ -22,7 +22,7 @@
             ++view.here;
     }
     std::erase_if(last_heard_, [now](const auto& item) {
-        return now - item.second > policy::silent_keeper_life;
+        return now - item.second > policy::silent_peer_timeout;
     });
     // This instance is heard, but not among the others.
     view.silent = last_heard_.size() - (view.heard - 1);
--- a/libs/mintknotd-platform/limits/src/usage_accounts.cpp
+++ b/libs/mintknotd-platform/limits/src/usage_accounts.cpp
@@ -6,7 +6,7 @@
 #include "usage_messages.hpp"
 
 #include <mintknot/base/random.hpp>
-#include <mintknot/policy/answer_pace.hpp>
+#include <mintknot/policy/answer_timeout.hpp>
 
 #include <algorithm>
 #include <map>
@@ -153,9 +153,9 @@
             host,
             encode(usage_question{
                 question, entry.organisation, entry.cost, entry.account}));
-        policy::note_asked(paces, host, now());
+        policy::note_query_sent(paces, host, now());
         entry.timer.start(
-            policy::patience_for(paces, host, patience),
+            policy::answer_timeout(paces, host, patience),
             [this, number, host] { on_silence(number, host); });
     }
 
@@ -194,7 +194,7 @@
                 .value_or(policy::draw_result{true, base::milliseconds{0}});
         relay::usage_grant told;
         told.granted = drawn.granted;
-        told.come_back = drawn.come_back;
+        told.come_back = drawn.retry_after;
         finish(number, ports.own_host, number, std::move(told));
     }
 
@@ -254,13 +254,13 @@
         if (drawn) {
             answer.verdict = drawn->granted ? usage_verdict::granted
                                             : usage_verdict::refused;
-            answer.come_back = drawn->come_back;
+            answer.come_back = drawn->retry_after;
         }
         ports.send(host, encode(answer));
     }
 
     void on_message(const std::string& host, const usage_answer& answer) {
-        policy::note_answered(paces, host, now());
+        policy::note_answer_received(paces, host, now());
         const auto found = questions.find(answer.number);
         if (found == questions.end() || found->second.host != host)
             return;
@@ -305,7 +305,7 @@
     usage_book book;
     group_tracker group;
     keeper_directory directory;
-    policy::answer_paces paces;
+    policy::answer_times paces;
     std::optional<base::steady_time> looked_at;
     std::uint64_t last_number;
     std::map<std::uint64_t, std::unique_ptr<waiting_request>> waiting;
--- a/libs/mintknotd-platform/limits/tests/test_usage_book.cpp
+++ b/libs/mintknotd-platform/limits/tests/test_usage_book.cpp
@@ -80,7 +80,8 @@
         group.look(one, "x", start + milliseconds(5000));
     cr_assert(cut.heard == 2 && cut.silent == 1);
     const policy::group_view later = group.look(
-        {one[0]}, "x", start + policy::silent_keeper_life + milliseconds(6000));
+        {one[0]}, "x",
+        start + policy::silent_peer_timeout + milliseconds(6000));
     cr_assert(later.silent == 0);
 }
 
--- a/libs/mintknotd-platform/orders/src/phase_balancer.cpp
+++ b/libs/mintknotd-platform/orders/src/phase_balancer.cpp
@@ -149,7 +149,7 @@
                         version = row.version;
                         holder = *row.text;
                     }
-                policy::see(at.view, version, holder, now());
+                policy::observe(at.view, version, holder, now());
                 rest(
                     at, policy::may_take(
                             at.view, options.holder, options.terms, now())
@@ -185,7 +185,7 @@
             rest(at, refused_pause);
             return;
         }
-        policy::see(at.view, answer.version, options.holder, now());
+        policy::observe(at.view, answer.version, options.holder, now());
         at.lease = {answer.version, asked};
         announce(changes);
         at.notice_timer.start(options.notice, [this, service, changes] {
--- a/libs/mintknotd-platform/orders/tests/test_phase_balancer.cpp
+++ b/libs/mintknotd-platform/orders/tests/test_phase_balancer.cpp
@@ -121,8 +121,9 @@
     const auto balancer = f.start();
     f.relay.run_until([&] { return !f.orders.empty(); });
     cr_assert(
-        f.relay.owner.now() - begun >=
-        f.options.terms.length + f.options.terms.use + f.options.terms.margin);
+        f.relay.owner.now() - begun >= f.options.terms.length +
+                                           f.options.terms.order_period +
+                                           f.options.terms.margin);
 }
 
 Test(phase_balancer, a_lost_answer_of_the_store_gives_no_right) {
--- a/libs/mintknotd-platform/peers/src/heartbeat.cpp
+++ b/libs/mintknotd-platform/peers/src/heartbeat.cpp
@@ -27,7 +27,7 @@
 json usage_to_json(const policy::usage_map& usage) {
     json rows = json::array();
     for (const auto& [service, used] : usage)
-        rows.push_back({service, used.requests, used.repeats});
+        rows.push_back({service, used.requests, used.retries});
     return rows;
 }
 
--- a/libs/mintknotd-platform/peers/tests/test_heartbeat.cpp
+++ b/libs/mintknotd-platform/peers/tests/test_heartbeat.cpp
@@ -32,7 +32,7 @@
     cr_assert(back->incarnation == 0xffffffffffffffffULL);
     cr_assert(back->leaving);
     cr_assert(back->data_centre == "a");
-    cr_assert(back->usage.at("s").repeats == 4);
+    cr_assert(back->usage.at("s").retries == 4);
     cr_assert(back->loads->at("i").memory_tokens == 200.0);
     cr_assert(back->warnings.at(0).left == base::milliseconds(300));
     cr_assert(back->changes.at(0).server_id == "k");
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/access.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/access.hpp
@@ -22,10 +22,10 @@
 /// Between the last moment at which old knowledge lets a request in and the
 /// bound: for the way of the request to its server, and for clocks that run at
 /// slightly different rates.
-inline constexpr base::milliseconds knowledge_margin{100};
+inline constexpr base::milliseconds staleness_margin{100};
 
 /// How old the knowledge of the configuration is, and may be.
-struct knowledge {
+struct configuration_freshness {
     /// Since the last moment at which nothing newer existed; nothing: there has
     /// never been one.
     std::optional<base::milliseconds> age;
@@ -35,13 +35,13 @@
 };
 
 /// @return true if a key that is found in the configuration may still be good.
-bool is_fresh(const knowledge& known);
+bool is_fresh(const configuration_freshness& freshness);
 
 /// What a key opens.
 enum class access_verdict {
-    granted,      ///< Also without an organisation, where none is needed.
-    unknown_key,  ///< There is no key, or nobody holds it.
-    old_knowledge ///< It cannot be told at present.
+    granted,            ///< Also without an organisation, where none is needed.
+    unknown_key,        ///< There is no key, or nobody holds it.
+    stale_configuration ///< It cannot be told at present.
 };
 
 struct access_decision {
@@ -54,7 +54,8 @@
 /// still tells whose request it is.
 access_decision check_access(
     const traffic::organisation_table* organisations, bool open_to_all,
-    const std::optional<std::string>& key, const knowledge& known);
+    const std::optional<std::string>& key,
+    const configuration_freshness& freshness);
 
 } // namespace mintknot::policy
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/answer_pace.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/answer_timeout.hpp
@@ -6,8 +6,8 @@
 /// 6,643 times on a day without trouble (67 instances in three regions): plain
 /// calls were then placed 60 ms late by old loads, and streams that found no
 /// room nearby waited through each region in turn.
-#ifndef MINTKNOT_POLICY_ANSWER_PACE_HPP
-#define MINTKNOT_POLICY_ANSWER_PACE_HPP
+#ifndef MINTKNOT_POLICY_ANSWER_TIMEOUT_HPP
+#define MINTKNOT_POLICY_ANSWER_TIMEOUT_HPP
 
 #include <mintknot/base/time.hpp>
 
@@ -17,28 +17,28 @@
 namespace mintknot::policy {
 
 /// Of the instances that are asked, by host.
-struct answer_paces {
-    struct pace {
+struct answer_times {
+    struct host_times {
         base::milliseconds round_trip{0}; ///< Of the slowest ones lately.
-        base::steady_time asked{};        ///< The last question.
-        bool waits = false;
+        base::steady_time sent_at{};      ///< The last question.
+        bool awaiting_answer = false;
     };
-    std::map<std::string, pace> by_host;
+    std::map<std::string, host_times> by_host;
 };
 
 /// A question goes out.
-void note_asked(
-    answer_paces& paces, const std::string& host, base::steady_time now);
+void note_query_sent(
+    answer_times& times, const std::string& host, base::steady_time now);
 
 /// An answer has come, in time or not.
-void note_answered(
-    answer_paces& paces, const std::string& host, base::steady_time now);
+void note_answer_received(
+    answer_times& times, const std::string& host, base::steady_time now);
 
 /// @param least that any instance has, however near it is.
 /// @return how long an answer from there is waited for.
-base::milliseconds patience_for(
-    const answer_paces& paces, const std::string& host,
-    base::milliseconds least);
+base::milliseconds answer_timeout(
+    const answer_times& times, const std::string& host,
+    base::milliseconds min_timeout);
 
 } // namespace mintknot::policy
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/attempts.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/attempts.hpp
@@ -47,7 +47,7 @@
     std::string_view reason;
     /// The step costs one repeat of the allowance. Where that is spent,
     /// `otherwise` is done instead, for `otherwise_reason`.
-    bool costs_repeat = false;
+    bool costs_retry = false;
     action otherwise = action::give_up;
     std::string_view otherwise_reason;
     /// For give_up: no server was within reach. The caller is told to come back
@@ -75,7 +75,7 @@
 bool may_run_again(const traffic::route& route, const attempts& so_far);
 
 /// The state of a plain request beside its counts.
-struct plain_situation {
+struct plain_call_state {
     base::verdict verdict = base::verdict::not_run;
     bool says_not_executed = false; ///< The last answer, if any came.
     base::milliseconds time_left{0};
@@ -87,7 +87,7 @@
 /// Log events: `sent`, `given_up`, `broken_off`.
 next_step after_plain_call(
     call_end end, const traffic::route& route, const attempts& so_far,
-    const plain_situation& now);
+    const plain_call_state& state);
 
 /// The next step of a generation request after its decode call. What an engine
 /// rejects is placed again; a resumable stream goes on elsewhere; any other
@@ -99,19 +99,19 @@
 
 /// The next step of a generation request whose next call the allowance does not
 /// cover. @param may_borrow whether peers have been asked for repeats.
-next_step without_allowance(const attempts& so_far, bool may_borrow);
+next_step after_allowance_spent(const attempts& so_far, bool may_borrow);
 
 /// @return true if a prompt is to be read by a prefill engine: no result is
 /// kept, prefills are left, and decode engines have not rejected the request
 /// twice. A second rejection points at the result rather than at the engines.
-bool reads_prompt_apart(const attempts& so_far, bool result_kept);
+bool needs_separate_prefill(const attempts& so_far, bool result_kept);
 
 /// @return true if a kept result is not to be handed over any more.
-bool distrusts_result(const attempts& so_far);
+bool is_result_suspect(const attempts& so_far);
 
 /// @return true if a decode engine that has been tried may be chosen again
 /// where there is no other: none has rejected the request yet.
-bool may_return_to_engine(const attempts& so_far);
+bool may_reuse_tried_engine(const attempts& so_far);
 
 } // namespace mintknot::policy
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/call_charges.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/call_charges.hpp
@@ -17,7 +17,7 @@
 struct call_charges {
     int arrivals = 0; ///< Calls that count, or may count still.
     int prepaid = 0;  ///< Repeats taken from the allowance and not used yet.
-    bool prefill_taken_up = false; ///< An engine has worked on a prefill.
+    bool prefill_executed = false; ///< An engine has worked on a prefill.
 };
 
 /// Calls that are planned when a prefill is sent: it and the decode.
@@ -25,7 +25,7 @@
 
 /// @return how many repeats must stand prepaid, those counted in that are, so
 /// that the first of so many calls may be sent.
-int repeats_to_prepay(const call_charges& charges, int calls);
+int retries_to_prepay(const call_charges& charges, int calls);
 
 /// A call goes out. Precondition: repeats_to_prepay() have been prepaid.
 void note_sent(call_charges& charges);
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/crash_evidence.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/crash_evidence.hpp
@@ -50,7 +50,7 @@
 
 /// A run of a request that broke when its server ended.
 struct crash_record {
-    std::string server_life; ///< The server's ID and which life of it.
+    std::string server_incarnation; ///< The server's ID and which life of it.
     base::steady_time began{};
     base::steady_time broke{};
 };
@@ -61,7 +61,7 @@
     /// The first run on each server's life.
     std::vector<crash_record> crashes;
     base::steady_time last{};
-    std::optional<base::steady_time> judge_at;
+    std::optional<base::steady_time> evaluate_at;
 };
 
 /// A request that is refused.
@@ -83,7 +83,7 @@
 };
 
 /// A block as instances tell each other of it.
-struct block_news {
+struct block_entry {
     request_key key;
     base::milliseconds left{0};
     int times = 0;
@@ -96,10 +96,12 @@
 
 /// Judges the requests that are due. @return those that are refused from now
 /// on.
-std::vector<block_news> judge(crash_evidence& evidence, base::steady_time now);
+std::vector<block_entry>
+evaluate_suspects(crash_evidence& evidence, base::steady_time now);
 
 /// @return when judge() is to be called next; nothing: no request is due.
-std::optional<base::steady_time> next_judgement(const crash_evidence& evidence);
+std::optional<base::steady_time>
+next_evaluation(const crash_evidence& evidence);
 
 /// A server has given a whole answer to the request: it is cleared.
 /// @return true if it was suspected or refused.
@@ -108,7 +110,7 @@
 
 /// Takes the news of another instance. @return true if it is new here.
 bool note_block(
-    crash_evidence& evidence, const block_news& news, base::steady_time now);
+    crash_evidence& evidence, const block_entry& entry, base::steady_time now);
 
 /// @return true if the request was cleared so lately that news of a block of it
 /// are older.
@@ -128,7 +130,7 @@
     base::steady_time now);
 
 /// @return the blocks that are in force.
-std::vector<block_news>
+std::vector<block_entry>
 blocks(const crash_evidence& evidence, base::steady_time now);
 
 /// Drops what is long past.
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/entry_check.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/entry_check.hpp
@@ -25,7 +25,7 @@
     base::milliseconds grace{0};      ///< From the stop's begin to its end.
     std::size_t open_body_bytes = 0;  ///< Of this request too.
     std::size_t max_body_bytes = 0;
-    knowledge known; ///< Of the configuration.
+    configuration_freshness freshness; ///< Of the configuration.
 };
 
 /// What is looked at of the request itself.
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/lease.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/lease.hpp
@@ -22,7 +22,7 @@
     base::milliseconds length{3000};
     /// A holder orders only this long after it began to take the lease: the
     /// notice to peers and two calls fit in.
-    base::milliseconds use{1000};
+    base::milliseconds order_period{1000};
     /// For clocks that run apart, and for the former holder's last order to
     /// have been carried out.
     base::milliseconds margin{3000};
@@ -40,11 +40,11 @@
 /// A lease that this instance has taken.
 struct held_lease {
     std::uint64_t fence = 0;
-    base::steady_time asked{}; ///< Before the call that took it.
+    base::steady_time requested_at{}; ///< Before the call that took it.
 };
 
 /// Takes what the store says of the row.
-void see(
+void observe(
     lease_view& view, std::uint64_t version, const std::string& holder,
     base::steady_time now);
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/retry_allowance.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/retry_allowance.hpp
@@ -42,7 +42,7 @@
 /// Requests and repeats of one service within the last window.
 struct retry_usage {
     std::int64_t requests = 0;
-    std::int64_t repeats = 0;
+    std::int64_t retries = 0;
 };
 
 /// Usage by service.
@@ -65,8 +65,8 @@
 };
 
 /// Repeats that one instance has lent to another.
-struct repeat_loan {
-    int repeats = 0;
+struct retry_loan {
+    int retries = 0;
     base::steady_time until{}; ///< Counts, or may be spent, up to then.
 };
 
@@ -77,13 +77,13 @@
 /// what its earlier life has spent: it begins with nothing saved, and leaves
 /// alone what peers leave until a whole window has passed.
 struct retry_allowance {
-    double earned = 0.0; ///< From requests.
-    double shared = 0.0; ///< From the part of the extra.
+    double earned = 0.0;     ///< From requests.
+    double from_extra = 0.0; ///< From the part of the extra.
     base::steady_time refilled{};
     usage_window used;
-    usage_window on_loan; ///< The part of `used` that peers had lent.
-    std::vector<repeat_loan> borrowed;
-    std::vector<repeat_loan> lent;
+    usage_window used_borrowed; ///< The part of `used` that peers had lent.
+    std::vector<retry_loan> borrowed;
+    std::vector<retry_loan> lent;
 };
 
 /// What a decision about a repeat looks at beside the own allowance.
@@ -94,12 +94,12 @@
 };
 
 /// Adds one request of the service.
-void earn(
+void earn_retries(
     retry_allowance& allowance, const retry_bounds& bounds,
     base::steady_time now);
 
 /// Takes one repeat. @return false if there is none left.
-bool spend(
+bool spend_retry(
     retry_allowance& allowance, const retry_bounds& bounds,
     const spend_terms& terms, base::steady_time now);
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/row_expiry.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/row_expiry.hpp
@@ -17,19 +17,19 @@
 
 /// Removals that come together are judged together. Some round trips to the
 /// store.
-inline constexpr base::milliseconds removal_gather_time{50};
+inline constexpr base::milliseconds removal_batch_time{50};
 
 /// @return how long after the store's return a server that lives may be without
 /// a row.
 /// @param drain_bound within which a server that leaves gets no request.
-base::milliseconds row_return_time(base::milliseconds drain_bound);
+base::milliseconds row_recovery_time(base::milliseconds drain_bound);
 
 /// @return until when a removal may be held back without requests arriving
 /// there beyond the drain bound, should the server have left; the end of time
 /// where the bound cannot be kept any more, as the store was out of reach for
 /// longer: then the row has rather lapsed.
 /// @param seen the last moment at which the row is known to have been there.
-base::steady_time removal_limit(
+base::steady_time removal_hold_deadline(
     std::optional<base::steady_time> seen, base::milliseconds drain_bound,
     base::steady_time now);
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/server_limit.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/server_limit.hpp
@@ -30,7 +30,7 @@
 /// How long a limit, or the fact that it has ended, is kept without a new
 /// answer. An idle server sends no answers; dropping its limit early would let
 /// all instances send at once.
-inline constexpr base::milliseconds limit_life{60000};
+inline constexpr base::milliseconds limit_lifetime{60000};
 
 /// State of one server's limit on this instance.
 struct server_limit {
@@ -109,7 +109,7 @@
 base::milliseconds time_until_token(
     const limit_view& view, const std::string& id, base::steady_time now);
 
-/// Removes limits without a new answer for limit_life.
+/// Removes limits without a new answer for limit_lifetime.
 void expire_limits(limit_view& view, base::steady_time now);
 
 } // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/server_rest.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/server_rest.hpp
@@ -28,7 +28,7 @@
 /// A server asks for rest; a longer one that it has is not cut short.
 /// @return true if it did not rest before.
 bool note_rest(
-    rest_view& view, const std::string& id, base::milliseconds asked,
+    rest_view& view, const std::string& id, base::milliseconds requested,
     base::steady_time now);
 
 bool rests(const rest_view& view, const std::string& id, base::steady_time now);
@@ -38,7 +38,7 @@
 
 /// @return after how long the first of the servers may be used again; nothing
 /// unless all of them rest, or if there are none.
-std::optional<base::milliseconds> time_until_first_end(
+std::optional<base::milliseconds> time_until_first_rest_end(
     const rest_view& view, const std::vector<const traffic::server*>& servers,
     base::steady_time now);
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/news_age.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/staleness_bounds.hpp
@@ -7,8 +7,8 @@
 /// request itself. Each instance knows as of when its view was the newest, so
 /// that ages add up along the way whoever is silent there, and asks the store
 /// itself before they use up their share. Log fields: `servers_age_ms`.
-#ifndef MINTKNOT_POLICY_NEWS_AGE_HPP
-#define MINTKNOT_POLICY_NEWS_AGE_HPP
+#ifndef MINTKNOT_POLICY_STALENESS_BOUNDS_HPP
+#define MINTKNOT_POLICY_STALENESS_BOUNDS_HPP
 
 #include <mintknot/base/time.hpp>
 
@@ -16,34 +16,34 @@
 
 /// From the choice of a server to the arrival of the request there: a
 /// connection may have to come up.
-inline constexpr base::milliseconds request_way{500};
+inline constexpr base::milliseconds request_travel_time{500};
 
 /// Parts of a bound within which all instances are to know of a change.
-struct news_times {
+struct staleness_bounds {
     /// How long the store holds a watch of an instance that nobody follows. A
     /// watch that gets no answer keeps it blind until then.
-    base::milliseconds own_watch;
+    base::milliseconds unfollowed_watch;
     /// The same where all peers tell which version they know, so that who lags
     /// behind asks one of them.
-    base::milliseconds backed_watch;
+    base::milliseconds peer_checked_watch;
     /// The same of an instance that passes on what it reads: while all is well,
     /// what its followers know is at least as old.
-    base::milliseconds shared_watch;
+    base::milliseconds relayed_watch;
     /// From this age on the readers are not enough, and the store is asked.
-    base::milliseconds patience;
+    base::milliseconds max_age;
     /// Longest pause between two questions, before a random spread, while
     /// nobody answers: it comes on top of the patience.
-    base::milliseconds pause;
+    base::milliseconds retry_pause;
 };
 
 /// @param bound from the store's word to the last request that did not obey;
 /// too short a one is not kept.
-news_times news_times_for(base::milliseconds bound);
+staleness_bounds staleness_bounds_for(base::milliseconds bound);
 
 /// @return how long an instance that holds no rows may send to a server that a
 /// scheduler has named: what the scheduler's patience and the way of the
 /// request leave of the bound.
-base::milliseconds named_life(base::milliseconds bound);
+base::milliseconds named_server_lifetime(base::milliseconds bound);
 
 } // namespace mintknot::policy
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/usage_account.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/usage_account.hpp
@@ -90,15 +90,15 @@
 /// The answer to a request.
 struct draw_result {
     bool granted = false;
-    base::milliseconds come_back{0}; ///< Unless granted.
+    base::milliseconds retry_after{0}; ///< Unless granted.
 };
 
 /// Longest time after which a refused caller is told to come back: what lies
 /// further ahead is not foreseen.
-inline constexpr base::milliseconds max_limit_return{8000};
+inline constexpr base::milliseconds max_limit_retry_after{8000};
 
 /// Shortest one: the limits of instances that begin are not settled sooner.
-inline constexpr base::milliseconds min_limit_return{50};
+inline constexpr base::milliseconds min_limit_retry_after{50};
 
 /// Takes the cost out of the account if there is enough. A request that costs
 /// more than the burst is granted by a full account, which then has to earn it.
@@ -138,7 +138,7 @@
 /// How long a peer that has fallen silent may still be granting: longer cuts
 /// are taken for losses, so that a group that has become smaller gets its whole
 /// limit back.
-inline constexpr base::milliseconds silent_keeper_life{60000};
+inline constexpr base::milliseconds silent_peer_timeout{60000};
 
 /// How long an instance that has started does not trust that it hears all the
 /// others: they find each other within a second.
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/usage_steps.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/usage_window.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Sums over the sliding windows of requests and repeats.
-#ifndef MINTKNOT_POLICY_USAGE_STEPS_HPP
-#define MINTKNOT_POLICY_USAGE_STEPS_HPP
+#ifndef MINTKNOT_POLICY_USAGE_WINDOW_HPP
+#define MINTKNOT_POLICY_USAGE_WINDOW_HPP
 
 #include <mintknot/policy/retry_allowance.hpp>
 
@@ -9,14 +9,14 @@
 
 /// What a window holds, from both sides of its oldest step.
 struct window_sums {
-    retry_usage within;  ///< Without the step that the window began in.
-    retry_usage touched; ///< With it.
+    retry_usage complete_steps; ///< Without the step that the window began in.
+    retry_usage all_steps;      ///< With it.
 };
 
 /// @return the counts of the step that `now` falls in; older steps that have
 /// left the window are cleared.
-retry_usage&
-newest(usage_window& window, const retry_bounds& bounds, base::steady_time now);
+retry_usage& current_counts(
+    usage_window& window, const retry_bounds& bounds, base::steady_time now);
 
 /// @return the sums of the window that ends now.
 window_sums sums(
--- a/libs/mintknotd-platform/policy/src/access.cpp
+++ b/libs/mintknotd-platform/policy/src/access.cpp
@@ -2,22 +2,23 @@
 
 namespace mintknot::policy {
 
-bool is_fresh(const knowledge& known) {
-    if (!known.revocation_bound)
+bool is_fresh(const configuration_freshness& freshness) {
+    if (!freshness.revocation_bound)
         return true;
-    return known.age &&
-           *known.age <= *known.revocation_bound - knowledge_margin;
+    return freshness.age &&
+           *freshness.age <= *freshness.revocation_bound - staleness_margin;
 }
 
 access_decision check_access(
     const traffic::organisation_table* organisations, bool open_to_all,
-    const std::optional<std::string>& key, const knowledge& known) {
+    const std::optional<std::string>& key,
+    const configuration_freshness& freshness) {
     if (organisations == nullptr)
         return {};
-    if (!is_fresh(known))
+    if (!is_fresh(freshness))
         return {
             open_to_all ? access_verdict::granted
-                        : access_verdict::old_knowledge,
+                        : access_verdict::stale_configuration,
             nullptr};
     const traffic::organisation* holder =
         key ? organisations->find_by_key(*key) : nullptr;
--- a/libs/mintknotd-platform/policy/src/call_charges.cpp
+++ b/libs/mintknotd-platform/policy/src/call_charges.cpp
@@ -6,10 +6,10 @@
 
 /// One prefill does not count, whichever it was: what was paid for one that was
 /// sent behind another call is there for the next.
-void take_up(call_charges& charges) {
-    if (charges.prefill_taken_up)
+void exclude_prefill(call_charges& charges) {
+    if (charges.prefill_executed)
         return;
-    charges.prefill_taken_up = true;
+    charges.prefill_executed = true;
     --charges.arrivals;
     if (charges.arrivals > 0)
         ++charges.prepaid;
@@ -17,12 +17,12 @@
 
 } // namespace
 
-int repeats_to_prepay(const call_charges& charges, int calls) {
+int retries_to_prepay(const call_charges& charges, int calls) {
     if (charges.arrivals > 0)
         return calls;
     // The next call is the first that counts; a prefill does not count as long
     // as no engine has taken one up.
-    const bool first_is_free = calls == 1 || !charges.prefill_taken_up;
+    const bool first_is_free = calls == 1 || !charges.prefill_executed;
     return first_is_free ? 0 : calls - 1;
 }
 
@@ -36,7 +36,7 @@
     switch (result) {
     case call_result::good:
     case call_result::failed:
-        take_up(charges);
+        exclude_prefill(charges);
         return;
     case call_result::unreachable:
         --charges.arrivals;
--- a/libs/mintknotd-platform/policy/src/crash_evidence.cpp
+++ b/libs/mintknotd-platform/policy/src/crash_evidence.cpp
@@ -13,17 +13,17 @@
 /// Crashes of one request that are kept: more prove nothing more.
 constexpr std::size_t max_crashes_kept = 8;
 /// How long a crash counts against a request.
-constexpr base::milliseconds suspect_life{10 * 60 * 1000};
+constexpr base::milliseconds suspect_lifetime{10 * 60 * 1000};
 /// For how long after its end a block makes the next one longer.
-constexpr base::milliseconds block_memory{10 * 60 * 1000};
+constexpr base::milliseconds block_history_time{10 * 60 * 1000};
 constexpr int max_doublings = 5;
 /// Nothing ends a server sooner after it was sent; a proxy in front of one that
 /// is not there ends calls at once.
 constexpr base::milliseconds min_run{3};
 /// The times of instances' reports agree within this time.
-constexpr base::milliseconds report_inexactness{5};
+constexpr base::milliseconds max_report_skew{5};
 /// News of a block are on their way for less than this.
-constexpr base::milliseconds cleared_life{10000};
+constexpr base::milliseconds cleared_lifetime{10000};
 
 base::milliseconds block_time(int times) {
     return first_block_time * (1 << std::min(times - 1, max_doublings));
@@ -56,37 +56,39 @@
 }
 
 /// The end of a server, and since when a request had run there.
-struct seen_end {
+struct observed_crash {
     base::steady_time began;
     base::steady_time ended;
 };
 
 /// @return the ends that a request may have brought about, in order.
-std::vector<seen_end> possible_ends(
+std::vector<observed_crash> possible_crashes(
     const crash_evidence& evidence, const crash_suspect& suspect,
     const std::set<std::string>& explained) {
-    std::vector<seen_end> ends;
+    std::vector<observed_crash> ends;
     for (const crash_record& crash : suspect.crashes) {
-        const auto end = evidence.ends.find(crash.server_life);
+        const auto end = evidence.ends.find(crash.server_incarnation);
         const base::steady_time ended =
             end == evidence.ends.end() ? crash.broke : end->second;
-        if (!explained.contains(crash.server_life) &&
-            crash.began < ended + report_inexactness)
+        if (!explained.contains(crash.server_incarnation) &&
+            crash.began < ended + max_report_skew)
             ends.push_back({crash.began, ended});
     }
     std::sort(
         ends.begin(), ends.end(),
-        [](const seen_end& a, const seen_end& b) { return a.ended < b.ended; });
+        [](const observed_crash& a, const observed_crash& b) {
+            return a.ended < b.ended;
+        });
     return ends;
 }
 
 /// @return how many of the ends followed each other: the run began when the
 /// server before had ended.
-std::size_t count_in_turn(const std::vector<seen_end>& ends) {
+std::size_t count_consecutive(const std::vector<observed_crash>& ends) {
     std::size_t count = 0;
     base::steady_time last{};
-    for (const seen_end& end : ends) {
-        if (count > 0 && end.began + report_inexactness < last)
+    for (const observed_crash& end : ends) {
+        if (count > 0 && end.began + max_report_skew < last)
             continue;
         ++count;
         last = end.ended;
@@ -94,16 +96,17 @@
     return count;
 }
 
-base::steady_time::duration longest_run(const std::vector<seen_end>& ends) {
+base::steady_time::duration
+longest_run(const std::vector<observed_crash>& ends) {
     base::steady_time::duration longest{0};
-    for (const seen_end& end : ends)
+    for (const observed_crash& end : ends)
         longest = std::max(longest, end.ended - end.began);
     return longest;
 }
 
-void note_end(crash_evidence& evidence, const crash_record& crash) {
+void note_crash_time(crash_evidence& evidence, const crash_record& crash) {
     const auto [entry, fresh] =
-        evidence.ends.emplace(crash.server_life, crash.broke);
+        evidence.ends.emplace(crash.server_incarnation, crash.broke);
     entry->second = std::min(entry->second, crash.broke);
     if (fresh && evidence.ends.size() > max_ends)
         evidence.ends.erase(std::min_element(
@@ -112,40 +115,41 @@
 }
 
 /// @return the lives of servers whose end is another request's doing.
-std::set<std::string> explained_lives(
+std::set<std::string> explained_incarnations(
     const crash_evidence& evidence, const std::string& digest,
     base::steady_time now) {
-    const auto own_run =
-        longest_run(possible_ends(evidence, evidence.suspects.at(digest), {}));
-    std::set<std::string> lives;
+    const auto own_longest_run = longest_run(
+        possible_crashes(evidence, evidence.suspects.at(digest), {}));
+    std::set<std::string> incarnations;
     for (const auto& [other, suspect] : evidence.suspects) {
         if (other == digest || suspect.crashes.size() < max_crashes)
             continue;
-        const std::vector<seen_end> ends = possible_ends(evidence, suspect, {});
-        const bool to_blame =
-            blocked_for(evidence, other, now) ||
-            (longest_run(ends) < own_run && count_in_turn(ends) >= max_crashes);
-        if (!to_blame)
+        const std::vector<observed_crash> ends =
+            possible_crashes(evidence, suspect, {});
+        const bool is_cause = blocked_for(evidence, other, now) ||
+                              (longest_run(ends) < own_longest_run &&
+                               count_consecutive(ends) >= max_crashes);
+        if (!is_cause)
             continue;
         for (const crash_record& crash : suspect.crashes)
-            lives.insert(crash.server_life);
+            incarnations.insert(crash.server_incarnation);
     }
-    return lives;
+    return incarnations;
 }
 
 std::vector<std::string>
 take_due(crash_evidence& evidence, base::steady_time now) {
     std::vector<std::string> due;
     for (auto& [digest, suspect] : evidence.suspects) {
-        if (!suspect.judge_at || *suspect.judge_at > now)
+        if (!suspect.evaluate_at || *suspect.evaluate_at > now)
             continue;
-        suspect.judge_at.reset();
+        suspect.evaluate_at.reset();
         due.push_back(digest);
     }
     return due;
 }
 
-block_news news_of(
+block_entry entry_of(
     const std::string& digest, const blocked_request& block,
     base::steady_time now) {
     return {
@@ -161,7 +165,7 @@
     base::steady_time now) {
     if (crash.broke - crash.began < min_run)
         return;
-    note_end(evidence, crash);
+    note_crash_time(evidence, crash);
     if (!evidence.suspects.contains(key.digest))
         make_room(evidence.suspects);
     crash_suspect& suspect = evidence.suspects[key.digest];
@@ -169,7 +173,7 @@
     const auto known = std::find_if(
         suspect.crashes.begin(), suspect.crashes.end(),
         [&](const crash_record& earlier) {
-            return earlier.server_life == crash.server_life;
+            return earlier.server_incarnation == crash.server_incarnation;
         });
     if (known != suspect.crashes.end()) {
         known->began = std::min(known->began, crash.began);
@@ -179,19 +183,20 @@
     if (suspect.crashes.size() >= max_crashes_kept)
         suspect.crashes.erase(suspect.crashes.begin());
     suspect.crashes.push_back(crash);
-    if (suspect.crashes.size() >= max_crashes && !suspect.judge_at)
-        suspect.judge_at = now + crash_report_time;
+    if (suspect.crashes.size() >= max_crashes && !suspect.evaluate_at)
+        suspect.evaluate_at = now + crash_report_time;
 }
 
-std::vector<block_news> judge(crash_evidence& evidence, base::steady_time now) {
-    std::vector<block_news> fresh;
+std::vector<block_entry>
+evaluate_suspects(crash_evidence& evidence, base::steady_time now) {
+    std::vector<block_entry> fresh;
     for (const std::string& digest : take_due(evidence, now)) {
         if (blocked_for(evidence, digest, now))
             continue;
         const crash_suspect& suspect = evidence.suspects.at(digest);
-        const std::vector<seen_end> ends = possible_ends(
-            evidence, suspect, explained_lives(evidence, digest, now));
-        if (count_in_turn(ends) < max_crashes)
+        const std::vector<observed_crash> ends = possible_crashes(
+            evidence, suspect, explained_incarnations(evidence, digest, now));
+        if (count_consecutive(ends) < max_crashes)
             continue;
         if (!evidence.blocked.contains(digest))
             make_room(evidence.blocked);
@@ -199,17 +204,17 @@
         block.body_bytes = suspect.body_bytes;
         ++block.times;
         block.until = now + block_time(block.times);
-        fresh.push_back(news_of(digest, block, now));
+        fresh.push_back(entry_of(digest, block, now));
     }
     return fresh;
 }
 
 std::optional<base::steady_time>
-next_judgement(const crash_evidence& evidence) {
+next_evaluation(const crash_evidence& evidence) {
     std::optional<base::steady_time> next;
     for (const auto& [digest, suspect] : evidence.suspects)
-        if (suspect.judge_at && (!next || *suspect.judge_at < *next))
-            next = suspect.judge_at;
+        if (suspect.evaluate_at && (!next || *suspect.evaluate_at < *next))
+            next = suspect.evaluate_at;
     return next;
 }
 
@@ -224,18 +229,18 @@
 }
 
 bool note_block(
-    crash_evidence& evidence, const block_news& news, base::steady_time now) {
-    if (news.left <= base::milliseconds{0} ||
-        recently_cleared(evidence, news.key.digest, now))
+    crash_evidence& evidence, const block_entry& entry, base::steady_time now) {
+    if (entry.left <= base::milliseconds{0} ||
+        recently_cleared(evidence, entry.key.digest, now))
         return false;
-    const bool known = blocked_for(evidence, news.key.digest, now).has_value();
-    if (!evidence.blocked.contains(news.key.digest))
+    const bool known = blocked_for(evidence, entry.key.digest, now).has_value();
+    if (!evidence.blocked.contains(entry.key.digest))
         make_room(evidence.blocked);
-    blocked_request& block = evidence.blocked[news.key.digest];
-    block.body_bytes = news.key.body_bytes;
-    block.times = std::max(block.times, news.times);
+    blocked_request& block = evidence.blocked[entry.key.digest];
+    block.body_bytes = entry.key.body_bytes;
+    block.times = std::max(block.times, entry.times);
     block.until = std::max(
-        block.until, now + std::min(news.left, block_time(block.times)));
+        block.until, now + std::min(entry.left, block_time(block.times)));
     return !known;
 }
 
@@ -244,7 +249,7 @@
     base::steady_time now) {
     const auto found = evidence.cleared.find(digest);
     return found != evidence.cleared.end() &&
-           now - found->second < cleared_life;
+           now - found->second < cleared_lifetime;
 }
 
 bool may_be_blocked(
@@ -277,28 +282,28 @@
     return base::time_left(found->second.until, now);
 }
 
-std::vector<block_news>
+std::vector<block_entry>
 blocks(const crash_evidence& evidence, base::steady_time now) {
-    std::vector<block_news> result;
+    std::vector<block_entry> result;
     for (const auto& [digest, block] : evidence.blocked)
         if (is_in_force(block, now))
-            result.push_back(news_of(digest, block, now));
+            result.push_back(entry_of(digest, block, now));
     return result;
 }
 
 void expire(crash_evidence& evidence, base::steady_time now) {
     std::erase_if(evidence.blocked, [now](const auto& entry) {
-        return entry.second.until + block_memory <= now;
+        return entry.second.until + block_history_time <= now;
     });
     std::erase_if(evidence.suspects, [&](const auto& entry) {
-        return entry.second.last + suspect_life <= now &&
+        return entry.second.last + suspect_lifetime <= now &&
                !evidence.blocked.contains(entry.first);
     });
     std::erase_if(evidence.ends, [now](const auto& entry) {
-        return entry.second + suspect_life <= now;
+        return entry.second + suspect_lifetime <= now;
     });
     std::erase_if(evidence.cleared, [now](const auto& entry) {
-        return now - entry.second >= cleared_life;
+        return now - entry.second >= cleared_lifetime;
     });
 }
 
--- a/libs/mintknotd-platform/policy/src/entry_check.cpp
+++ b/libs/mintknotd-platform/policy/src/entry_check.cpp
@@ -11,7 +11,7 @@
 constexpr int status_not_found = 404;
 constexpr int status_unavailable = 503;
 
-entry_decision refuse_for_now(std::string_view reason) {
+entry_decision refuse_with_retry(std::string_view reason) {
     entry_decision refused;
     refused.status = status_unavailable;
     refused.reason = reason;
@@ -19,7 +19,7 @@
     return refused;
 }
 
-entry_decision refuse_for_good(int status, std::string_view reason) {
+entry_decision refuse_without_retry(int status, std::string_view reason) {
     entry_decision refused;
     refused.status = status;
     refused.reason = reason;
@@ -32,33 +32,33 @@
     const entry_conditions& conditions, const entry_request& request,
     double draw) {
     if (conditions.config == nullptr)
-        return refuse_for_now("no_configuration");
+        return refuse_with_retry("no_configuration");
     const traffic::configuration& config = *conditions.config;
     const traffic::route* route =
         traffic::find_route(config, request.host, request.target);
     if (route == nullptr)
-        return refuse_for_good(status_not_found, "no_route");
-    const access_decision let_in = check_access(
+        return refuse_without_retry(status_not_found, "no_route");
+    const access_decision access = check_access(
         config.organisations.get(), route->open_to_all, request.key,
-        conditions.known);
-    if (let_in.what == access_verdict::old_knowledge)
-        return refuse_for_now("old_knowledge");
-    if (let_in.what == access_verdict::unknown_key)
-        return refuse_for_good(status_unauthorized, "unknown_key");
+        conditions.freshness);
+    if (access.what == access_verdict::stale_configuration)
+        return refuse_with_retry("old_knowledge");
+    if (access.what == access_verdict::unknown_key)
+        return refuse_without_retry(status_unauthorized, "unknown_key");
     if (conditions.stopping &&
         !may_begin(*route, conditions.since_stop, conditions.grace))
-        return refuse_for_now("stopping");
+        return refuse_with_retry("stopping");
     if (conditions.open_body_bytes > conditions.max_body_bytes)
-        return refuse_for_now("memory_full");
+        return refuse_with_retry("memory_full");
     const auto service =
         config.services.find(traffic::choose_service(*route, draw));
     if (service == config.services.end())
-        return refuse_for_now("unknown_service");
-    entry_decision begins;
-    begins.route = route;
-    begins.service = &service->second;
-    begins.organisation = let_in.organisation;
-    return begins;
+        return refuse_with_retry("unknown_service");
+    entry_decision accepted;
+    accepted.route = route;
+    accepted.service = &service->second;
+    accepted.organisation = access.organisation;
+    return accepted;
 }
 
 } // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/src/lease.cpp
+++ b/libs/mintknotd-platform/policy/src/lease.cpp
@@ -2,7 +2,7 @@
 
 namespace mintknot::policy {
 
-void see(
+void observe(
     lease_view& view, std::uint64_t version, const std::string& holder,
     base::steady_time now) {
     if (!view.read || view.version != version)
@@ -20,12 +20,12 @@
     if (view.version == 0 || view.holder == self)
         return true;
     return now - view.unchanged_since >=
-           terms.length + terms.use + terms.margin;
+           terms.length + terms.order_period + terms.margin;
 }
 
 bool may_order(
     const held_lease& lease, const lease_terms& terms, base::steady_time now) {
-    return lease.fence > 0 && now - lease.asked < terms.use;
+    return lease.fence > 0 && now - lease.requested_at < terms.order_period;
 }
 
 } // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/src/retry_allowance.cpp
+++ b/libs/mintknotd-platform/policy/src/retry_allowance.cpp
@@ -1,8 +1,8 @@
 #include <mintknot/policy/retry_allowance.hpp>
 
 #include <mintknot/policy/group.hpp>
-#include <mintknot/policy/repeat_rights.hpp>
-#include <mintknot/policy/usage_steps.hpp>
+#include <mintknot/policy/retry_quota.hpp>
+#include <mintknot/policy/usage_window.hpp>
 
 #include <algorithm>
 
@@ -12,101 +12,101 @@
 
 /// Part of the extra that is given out as own parts; the rest is a margin for
 /// instances that are not heard of yet.
-constexpr double used_share = 0.9;
+constexpr double extra_fraction = 0.9;
 /// Half of an instance's part may be saved up, half comes within a window: in
 /// no window can more than the whole part be spent. Derived.
-constexpr double saved_share = 0.5;
+constexpr double saved_fraction = 0.5;
 /// Most repeats that are saved up from requests: those of some twenty.
 constexpr double max_earned = 4.0;
 /// Share of the whole bound up to which an instance spends beyond its part. The
 /// rest is for what others spend before they have told of it.
-constexpr double common_share = 0.5;
+constexpr double common_fraction = 0.5;
 /// Share of the whole bound above which not even the own part is spent.
-constexpr double stop_share = 0.75;
+constexpr double stop_fraction = 0.75;
 
 /// After its start an instance earns nothing of the extra until it has heard
 /// whether the group is large: it begins with the part of ten, which 295 that
 /// start at once would all have.
-constexpr base::milliseconds hearing_time{2000};
+constexpr base::milliseconds group_discovery_time{2000};
 
 void refill(
     retry_allowance& allowance, const retry_bounds& bounds,
     const spend_terms& terms, base::steady_time now) {
-    const double part =
-        bounds.extra * used_share /
+    const double share =
+        bounds.extra * extra_fraction /
         static_cast<double>(std::max<std::size_t>(terms.instances, 1));
     const base::steady_time since =
-        std::max(allowance.refilled, terms.started + hearing_time);
+        std::max(allowance.refilled, terms.started + group_discovery_time);
     if (now <= since)
         return;
     const double passed = std::chrono::duration<double>(now - since) /
                           std::chrono::duration<double>(bounds.window);
-    allowance.shared = std::min(
-        allowance.shared + part * (1.0 - saved_share) * passed,
-        part * saved_share);
+    allowance.from_extra = std::min(
+        allowance.from_extra + share * (1.0 - saved_fraction) * passed,
+        share * saved_fraction);
     allowance.refilled = now;
 }
 
 /// @return how many repeats of all instances are left for an instance that has
 /// used up its own part.
-double common_repeats(
-    const retry_bounds& bounds, const spend_terms& terms, double whole,
+double common_retries(
+    const retry_bounds& bounds, const spend_terms& terms, double group_bound,
     base::steady_time now) {
     if (terms.fleet.heard == 0 || now - terms.started < bounds.window)
         return 0.0;
     const double heard_share =
         static_cast<double>(terms.fleet.heard + 1) /
         static_cast<double>(std::max<std::size_t>(terms.instances, 1));
-    return whole * common_share * std::min(1.0, heard_share);
+    return group_bound * common_fraction * std::min(1.0, heard_share);
 }
 
-bool take_own_part(retry_allowance& allowance) {
+bool take_own_share(retry_allowance& allowance) {
     if (allowance.earned >= 1.0) {
         allowance.earned -= 1.0;
         return true;
     }
-    if (allowance.earned + allowance.shared < 1.0)
+    if (allowance.earned + allowance.from_extra < 1.0)
         return false;
-    allowance.shared -= 1.0 - allowance.earned;
+    allowance.from_extra -= 1.0 - allowance.earned;
     allowance.earned = 0.0;
     return true;
 }
 
 } // namespace
 
-void earn(
+void earn_retries(
     retry_allowance& allowance, const retry_bounds& bounds,
     base::steady_time now) {
     allowance.earned = std::min(max_earned, allowance.earned + bounds.ratio);
-    ++newest(allowance.used, bounds, now).requests;
+    ++current_counts(allowance.used, bounds, now).requests;
 }
 
-bool spend(
+bool spend_retry(
     retry_allowance& allowance, const retry_bounds& bounds,
     const spend_terms& terms, base::steady_time now) {
     if (is_large(terms.instances))
-        return spend_right(allowance, bounds, terms, now);
+        return spend_quota(allowance, bounds, terms, now);
     refill(allowance, bounds, terms, now);
-    const retry_usage mine = usage(allowance, bounds, now);
-    const retry_usage& theirs = terms.fleet.peers;
-    const auto repeats = static_cast<double>(mine.repeats + theirs.repeats);
-    const double whole =
+    const retry_usage own = usage(allowance, bounds, now);
+    const retry_usage& of_peers = terms.fleet.peers;
+    const auto retries = static_cast<double>(own.retries + of_peers.retries);
+    const double group_bound =
         bounds.extra +
-        bounds.ratio * static_cast<double>(mine.requests + theirs.requests);
-    if (terms.fleet.heard > 0 && repeats >= whole * stop_share)
+        bounds.ratio * static_cast<double>(own.requests + of_peers.requests);
+    if (terms.fleet.heard > 0 && retries >= group_bound * stop_fraction)
         return false;
     const bool common_left =
-        repeats < common_repeats(bounds, terms, whole, now);
-    if (!take_own_part(allowance) && !common_left)
+        retries < common_retries(bounds, terms, group_bound, now);
+    if (!take_own_share(allowance) && !common_left)
         return false;
-    ++newest(allowance.used, bounds, now).repeats;
+    ++current_counts(allowance.used, bounds, now).retries;
     return true;
 }
 
 retry_usage usage(
     const retry_allowance& allowance, const retry_bounds& bounds,
     base::steady_time now) {
-    return sums(allowance.used, bounds, now).within;
+    return sums(allowance.used, bounds, now).complete_steps;
 }
 
 } // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/src/server_limit.cpp
+++ b/libs/mintknotd-platform/policy/src/server_limit.cpp
@@ -16,10 +16,10 @@
 /// note_limit_from_answer().
 constexpr base::milliseconds end_delay{500};
 /// How long a request that found no token counts as local demand.
-constexpr base::milliseconds shortage_life{500};
+constexpr base::milliseconds shortage_lifetime{500};
 /// Lifetime of a borrowed token. Without expiry, borrowed tokens could
 /// accumulate across peers and exceed the limit in a burst.
-constexpr base::milliseconds borrowed_token_life{400};
+constexpr base::milliseconds borrowed_token_lifetime{400};
 /// Upper bound of time_until_token(), as the rate can be zero.
 constexpr base::milliseconds max_token_wait{60000};
 /// Lowest total rate, in requests per second. A server with a limit of zero
@@ -150,14 +150,15 @@
 bool needs_borrowed_token(
     const limit_view& view, const std::string& id, base::steady_time now) {
     const server_limit* limit = find_active(view, id);
-    return limit != nullptr && now - limit->last_shortage <= shortage_life &&
+    return limit != nullptr &&
+           now - limit->last_shortage <= shortage_lifetime &&
            !is_token_available(*limit, now);
 }
 
 bool lend_token(
     limit_view& view, const std::string& id, base::steady_time now) {
     server_limit* limit = find_active(view, id);
-    if (limit == nullptr || now - limit->last_shortage <= shortage_life ||
+    if (limit == nullptr || now - limit->last_shortage <= shortage_lifetime ||
         tokens_at(*limit, now) < max_tokens)
         return false;
     refill(*limit, now);
@@ -169,7 +170,7 @@
     limit_view& view, const std::string& id, base::steady_time now) {
     server_limit* limit = find_active(view, id);
     if (limit != nullptr)
-        limit->borrowed_until = now + borrowed_token_life;
+        limit->borrowed_until = now + borrowed_token_lifetime;
 }
 
 base::milliseconds time_until_token(
@@ -194,7 +195,7 @@
 
 void expire_limits(limit_view& view, base::steady_time now) {
     std::erase_if(view.servers, [now](const auto& item) {
-        return now - item.second.answered_at > limit_life;
+        return now - item.second.answered_at > limit_lifetime;
     });
 }
 
--- a/libs/mintknotd-platform/policy/src/server_rest.cpp
+++ b/libs/mintknotd-platform/policy/src/server_rest.cpp
@@ -5,16 +5,16 @@
 namespace mintknot::policy {
 
 bool note_rest(
-    rest_view& view, const std::string& id, base::milliseconds asked,
+    rest_view& view, const std::string& id, base::milliseconds requested,
     base::steady_time now) {
-    if (asked <= base::milliseconds{0})
+    if (requested <= base::milliseconds{0})
         return false;
     std::erase_if(
         view.until, [now](const auto& item) { return item.second <= now; });
-    const bool fresh = !view.until.contains(id);
+    const bool is_new = !view.until.contains(id);
     base::steady_time& end = view.until[id];
-    end = std::max(end, now + std::min(asked, max_rest));
-    return fresh;
+    end = std::max(end, now + std::min(requested, max_rest));
+    return is_new;
 }
 
 bool rests(
@@ -27,7 +27,7 @@
     return found == view.until.end() ? base::steady_time{} : found->second;
 }
 
-std::optional<base::milliseconds> time_until_first_end(
+std::optional<base::milliseconds> time_until_first_rest_end(
     const rest_view& view, const std::vector<const traffic::server*>& servers,
     base::steady_time now) {
     std::optional<base::milliseconds> first;
--- /dev/null
+++ b/libs/mintknotd-platform/policy/src/staleness_bounds.cpp
@@ -0,0 +1,38 @@
+#include <mintknot/policy/staleness_bounds.hpp>
+
+#include <algorithm>
+
+namespace mintknot::policy {
+
+namespace {
+
+constexpr int unfollowed_watches_in_bound = 2;
+/// Less than the patience by what two instances gather for.
+constexpr int relayed_watches_in_bound = 4;
+constexpr int pauses_in_bound = 10;
+/// In hundredths of the bound. The rest is for a pause, the call to the store
+/// and the way of a request.
+constexpr int max_age_percent = 60;
+constexpr int whole_percent = 100;
+/// A shorter bound cannot be kept: calls to the store take some milliseconds.
+constexpr base::milliseconds min_bound{600};
+/// Less than a prompt takes to be read would only ask again each time.
+constexpr base::milliseconds min_named_server_lifetime{300};
+
+} // namespace
+
+staleness_bounds staleness_bounds_for(base::milliseconds requested) {
+    const base::milliseconds bound = std::max(requested, min_bound);
+    return {
+        bound / unfollowed_watches_in_bound, bound,
+        bound / relayed_watches_in_bound,
+        bound * max_age_percent / whole_percent, bound / pauses_in_bound};
+}
+
+base::milliseconds named_server_lifetime(base::milliseconds bound) {
+    return std::max(
+        min_named_server_lifetime,
+        bound - staleness_bounds_for(bound).max_age - request_travel_time);
+}
+
+} // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/src/usage_account.cpp
+++ b/libs/mintknotd-platform/policy/src/usage_account.cpp
@@ -13,12 +13,12 @@
 
 /// How late grants of others may be heard of: a process that has been frozen
 /// for so long finds them waiting. Longer ones are taken for lost by then.
-constexpr base::milliseconds late_charge_time{4000};
+constexpr base::milliseconds max_charge_delay{4000};
 
 /// What an account earns of its share while the keeper that it stands in for
 /// may still grant the whole limit. A calm load of 0.55 of the limit is served
 /// whole all the same, out of the overdraft.
-constexpr double share_at_first = 0.68;
+constexpr double initial_rate_fraction = 0.68;
 
 /// @return the milliseconds since the last look that count.
 double earning_time(const usage_account& account, base::steady_time now) {
@@ -26,10 +26,12 @@
     const milliseconds since = now - account.updated;
     if (account.stands_in_since == base::steady_time{})
         return since.count();
-    const base::steady_time full = account.stands_in_since + sharing_silence;
-    const milliseconds at_first = std::max(
-        std::min(now, full) - account.updated, base::steady_clock::duration{0});
-    return since.count() - (1.0 - share_at_first) * at_first.count();
+    const base::steady_time full_rate_from =
+        account.stands_in_since + sharing_silence;
+    const milliseconds reduced = std::max(
+        std::min(now, full_rate_from) - account.updated,
+        base::steady_clock::duration{0});
+    return since.count() - (1.0 - initial_rate_fraction) * reduced.count();
 }
 
 /// Adds what has been earned since the last look.
@@ -40,30 +42,31 @@
     const double earned = earning_time(account, now) * terms.rate;
     const double level = account.level + earned;
     account.level = std::min(level, terms.burst);
-    const double beyond = level - account.level;
+    const double excess = level - account.level;
     const double longest =
-        static_cast<double>(late_charge_time.count()) * terms.rate;
+        static_cast<double>(max_charge_delay.count()) * terms.rate;
     account.unused =
-        std::clamp(account.unused + 2.0 * beyond - earned, 0.0, longest);
+        std::clamp(account.unused + 2.0 * excess - earned, 0.0, longest);
     account.updated = now;
 }
 
 base::milliseconds time_to_earn(const account_terms& terms, double tokens) {
     const double time = std::ceil(std::max(tokens, 0.0) / terms.rate);
-    const auto longest = static_cast<double>(max_limit_return.count());
+    const auto longest = static_cast<double>(max_limit_retry_after.count());
     return base::milliseconds(
         static_cast<std::int64_t>(std::min(time, longest)));
 }
 
-base::milliseconds return_time(
+base::milliseconds retry_time(
     usage_account& account, const account_terms& terms, double cost,
     base::steady_time now) {
     const double missing = cost - account.level - terms.overdraft;
     const base::steady_time earned = std::max(
         now + time_to_earn(terms, missing),
         account.promised + time_to_earn(terms, cost));
-    account.promised = std::min(earned, now + max_limit_return);
-    return std::max(base::time_left(account.promised, now), min_limit_return);
+    account.promised = std::min(earned, now + max_limit_retry_after);
+    return std::max(
+        base::time_left(account.promised, now), min_limit_retry_after);
 }
 
 } // namespace
@@ -90,15 +93,15 @@
     update(account, terms, now);
     const bool enough = account.level - cost >= -terms.overdraft;
     if (!enough && account.level < terms.burst)
-        return {false, return_time(account, terms, cost, now)};
+        return {false, retry_time(account, terms, cost, now)};
     account.level -= cost;
     return {true, base::milliseconds{0}};
 }
 
 void stand_in(usage_account& account, base::steady_time now) {
-    const bool pauses = account.updated != base::steady_time{} &&
-                        now - account.updated > sharing_silence;
-    if (account.stands_in_since != base::steady_time{} && !pauses)
+    const bool after_pause = account.updated != base::steady_time{} &&
+                             now - account.updated > sharing_silence;
+    if (account.stands_in_since != base::steady_time{} && !after_pause)
         return;
     account = {};
     account.updated = now;
@@ -116,11 +119,11 @@
     usage_account& account, const account_terms& terms, double cost,
     base::steady_time now) {
     update(account, terms, now);
-    const double excused = std::min(cost, account.unused);
-    account.unused -= excused;
-    const double most_owed = -std::max(terms.burst, terms.overdraft);
+    const double covered = std::min(cost, account.unused);
+    account.unused -= covered;
+    const double min_level = -std::max(terms.burst, terms.overdraft);
     account.level = std::max(
-        account.level - (cost - excused), std::min(account.level, most_owed));
+        account.level - (cost - covered), std::min(account.level, min_level));
 }
 
 account_shares shares_of(const group_view& group) {
--- a/libs/mintknotd-platform/policy/src/usage_steps.cpp
+++ b/libs/mintknotd-platform/policy/src/usage_window.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/policy/usage_steps.hpp>
+#include <mintknot/policy/usage_window.hpp>
 
 #include <algorithm>
 
@@ -6,39 +6,39 @@
 
 namespace {
 
-constexpr auto ring = static_cast<std::int64_t>(usage_window::steps);
-constexpr auto whole_steps =
+constexpr auto step_slots = static_cast<std::int64_t>(usage_window::steps);
+constexpr auto steps_per_window =
     static_cast<std::int64_t>(usage_window::steps_in_window);
 
 std::int64_t step_of(const retry_bounds& bounds, base::steady_time now) {
     const std::int64_t length =
-        std::max<std::int64_t>(1, bounds.window.count() / whole_steps);
+        std::max<std::int64_t>(1, bounds.window.count() / steps_per_window);
     const auto passed =
         std::chrono::duration_cast<base::milliseconds>(now.time_since_epoch());
     return passed.count() / length;
 }
 
 retry_usage& at(usage_window& window, std::int64_t step) {
-    return window.counts[static_cast<std::size_t>(step % ring)];
+    return window.counts[static_cast<std::size_t>(step % step_slots)];
 }
 
 void add(retry_usage& sum, const retry_usage& step) {
     sum.requests += step.requests;
-    sum.repeats += step.repeats;
+    sum.retries += step.retries;
 }
 
 } // namespace
 
-retry_usage& newest(
+retry_usage& current_counts(
     usage_window& window, const retry_bounds& bounds, base::steady_time now) {
     const std::int64_t step = step_of(bounds, now);
     // The length of a window was changed while running: steps count anew.
-    if (step < window.newest_step - ring)
+    if (step < window.newest_step - step_slots)
         window = {};
-    const std::int64_t oldest = step - ring + 1;
-    for (std::int64_t fresh = std::max(window.newest_step + 1, oldest);
-         fresh <= step; ++fresh)
-        at(window, fresh) = {};
+    const std::int64_t oldest = step - step_slots + 1;
+    for (std::int64_t next = std::max(window.newest_step + 1, oldest);
+         next <= step; ++next)
+        at(window, next) = {};
     window.newest_step = std::max(window.newest_step, step);
     return at(window, step);
 }
@@ -47,13 +47,13 @@
     const usage_window& window, const retry_bounds& bounds,
     base::steady_time now) {
     usage_window copy = window;
-    newest(copy, bounds, now);
-    const std::int64_t oldest = copy.newest_step - ring + 1;
+    current_counts(copy, bounds, now);
+    const std::int64_t oldest = copy.newest_step - step_slots + 1;
     window_sums result;
     for (std::int64_t step = oldest; step <= copy.newest_step; ++step) {
-        add(result.touched, at(copy, step));
+        add(result.all_steps, at(copy, step));
         if (step > oldest)
-            add(result.within, at(copy, step));
+            add(result.complete_steps, at(copy, step));
     }
     return result;
 }
--- a/libs/mintknotd-platform/policy/tests/test_access.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_access.cpp
@@ -16,15 +16,15 @@
 }
 
 const traffic::organisation_table table({row("a", "ka"), row("b", "kb")});
-const knowledge unbounded{};
+const configuration_freshness unbounded{};
 
-knowledge of_age(std::optional<milliseconds> age) {
+configuration_freshness of_age(std::optional<milliseconds> age) {
     return {age, milliseconds{5000}};
 }
 
 access_verdict what(
     bool open_to_all, const std::optional<std::string>& key,
-    const knowledge& known) {
+    const configuration_freshness& known) {
     return check_access(&table, open_to_all, key, known).what;
 }
 
@@ -64,14 +64,14 @@
         access_verdict::granted);
     cr_assert(
         what(false, "ka", of_age(milliseconds{4901})) ==
-        access_verdict::old_knowledge);
+        access_verdict::stale_configuration);
     cr_assert(
         what(false, "ka", of_age(std::nullopt)) ==
-        access_verdict::old_knowledge);
+        access_verdict::stale_configuration);
     // Whether the key is good cannot be told either way.
     cr_assert(
         what(false, "kc", of_age(milliseconds{6000})) ==
-        access_verdict::old_knowledge);
+        access_verdict::stale_configuration);
 }
 
 Test(access, old_knowledge_serves_routes_for_all_on_as_nobodys) {
--- a/libs/mintknotd-platform/policy/tests/test_attempts.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_attempts.cpp
@@ -25,8 +25,8 @@
 const traffic::route stream_route = route_of(traffic::route_kind::streaming, 2);
 
 /// A call has gone out and time is left.
-plain_situation
-situation(base::verdict verdict, bool says_not_executed = false) {
+plain_call_state
+call_state(base::verdict verdict, bool says_not_executed = false) {
     return {verdict, says_not_executed, base::milliseconds{500}};
 }
 
@@ -39,39 +39,39 @@
 Test(attempts, an_unsafe_call_that_may_have_run_is_never_sent_again) {
     const attempts once{.runs = 1};
     const auto broken = after_plain_call(
-        call_end::broken_off, unsafe_route, once, situation(may_have_run));
+        call_end::broken_off, unsafe_route, once, call_state(may_have_run));
     cr_assert(broken.what == action::give_up);
     cr_assert(broken.reason == "server_broke_off");
     const auto silent = after_plain_call(
-        call_end::silent, unsafe_route, once, situation(not_run));
+        call_end::silent, unsafe_route, once, call_state(not_run));
     cr_assert(silent.what == action::keep_waiting);
     const auto failed = after_plain_call(
-        call_end::server_failure, unsafe_route, once, situation(ran));
+        call_end::server_failure, unsafe_route, once, call_state(ran));
     cr_assert(failed.what == action::deliver);
 }
 
 Test(attempts, what_has_not_run_is_sent_again_for_a_repeat) {
-    const attempts turned_away{.rejections = 1};
+    const attempts rejected_once{.rejections = 1};
     const auto step = after_plain_call(
-        call_end::rejected, unsafe_route, turned_away,
-        situation(not_run, true));
+        call_end::rejected, unsafe_route, rejected_once,
+        call_state(not_run, true));
     cr_assert(step.what == action::send_again);
-    cr_assert(step.costs_repeat);
+    cr_assert(step.costs_retry);
     cr_assert(step.otherwise == action::give_up);
     cr_assert(step.otherwise_reason == "server_rejected");
 }
 
 Test(attempts, a_server_that_says_not_executed_lets_an_unsafe_call_go_on) {
-    const attempts turned_away{.rejections = 1};
+    const attempts rejected_once{.rejections = 1};
     cr_assert(
         after_plain_call(
-            call_end::rejected, unsafe_route, turned_away,
-            situation(may_have_run, true))
+            call_end::rejected, unsafe_route, rejected_once,
+            call_state(may_have_run, true))
             .what == action::send_again);
     cr_assert(
         after_plain_call(
-            call_end::rejected, unsafe_route, turned_away,
-            situation(may_have_run, false))
+            call_end::rejected, unsafe_route, rejected_once,
+            call_state(may_have_run, false))
             .what == action::give_up);
 }
 
@@ -80,11 +80,11 @@
     const attempts four{.rejections = 4};
     cr_assert(
         after_plain_call(
-            call_end::rejected, safe_route, three, situation(not_run, true))
+            call_end::rejected, safe_route, three, call_state(not_run, true))
             .what == action::send_again);
     cr_assert(
         after_plain_call(
-            call_end::rejected, safe_route, four, situation(not_run, true))
+            call_end::rejected, safe_route, four, call_state(not_run, true))
             .what == action::give_up);
     cr_assert(
         after_decode_call(call_end::rejected, stream_route, three).what ==
@@ -97,12 +97,12 @@
 Test(attempts, failed_connections_cost_no_repeat) {
     const attempts four{.unreachable = 4};
     const auto step = after_plain_call(
-        call_end::unreachable, unsafe_route, four, situation(not_run));
+        call_end::unreachable, unsafe_route, four, call_state(not_run));
     cr_assert(step.what == action::send_again);
-    cr_assert(!step.costs_repeat);
+    cr_assert(!step.costs_retry);
     const attempts five{.unreachable = 5};
     const auto last = after_plain_call(
-        call_end::unreachable, unsafe_route, five, situation(not_run));
+        call_end::unreachable, unsafe_route, five, call_state(not_run));
     cr_assert(last.what == action::give_up);
     cr_assert(last.server_out_of_reach);
 }
@@ -122,14 +122,14 @@
     const attempts once{.runs = 1};
     const attempts twice{.runs = 2};
     const auto first = after_plain_call(
-        call_end::server_failure, safe_route, once, situation(ran));
+        call_end::server_failure, safe_route, once, call_state(ran));
     cr_assert(first.what == action::send_again);
     cr_assert(first.otherwise == action::deliver);
     cr_assert(
         after_plain_call(
-            call_end::server_failure, safe_route, twice, situation(ran))
+            call_end::server_failure, safe_route, twice, call_state(ran))
             .what == action::deliver);
-    plain_situation out_of_time = situation(ran);
+    plain_call_state out_of_time = call_state(ran);
     out_of_time.time_left = base::milliseconds{0};
     cr_assert(
         after_plain_call(
@@ -140,7 +140,7 @@
 Test(attempts, a_bad_answer_is_never_delivered) {
     const attempts twice{.runs = 2};
     const auto plain = after_plain_call(
-        call_end::bad_answer, safe_route, twice, situation(ran));
+        call_end::bad_answer, safe_route, twice, call_state(ran));
     cr_assert(plain.what == action::give_up);
     cr_assert(plain.reason == "bad_answer");
     const auto stream =
@@ -153,15 +153,15 @@
     const attempts begun{.runs = 1, .answer_begun = true};
     cr_assert(
         after_plain_call(
-            call_end::broken_off, safe_route, begun, situation(ran))
+            call_end::broken_off, safe_route, begun, call_state(ran))
             .what == action::break_off);
     for (const auto end :
          {call_end::broken_off, call_end::server_failure, call_end::bad_answer})
         cr_assert(
             after_decode_call(end, stream_route, begun).what ==
             action::break_off);
-    cr_assert(without_allowance(begun, false).what == action::break_off);
-    cr_assert(without_allowance({}, false).what == action::give_up);
+    cr_assert(after_allowance_spent(begun, false).what == action::break_off);
+    cr_assert(after_allowance_spent({}, false).what == action::give_up);
 }
 
 Test(attempts, only_a_resumable_stream_goes_on_elsewhere) {
@@ -184,36 +184,36 @@
     const auto step =
         after_decode_call(call_end::silent, resumable_route(), once);
     cr_assert(step.what == action::resume);
-    cr_assert(step.costs_repeat);
+    cr_assert(step.costs_retry);
     cr_assert(step.otherwise == action::keep_waiting);
 }
 
 Test(attempts, a_second_rejection_points_at_the_result) {
-    cr_assert(reads_prompt_apart({.rejections = 1}, false));
-    cr_assert(!reads_prompt_apart({.rejections = 2}, false));
-    cr_assert(!distrusts_result({.rejections = 1}));
-    cr_assert(distrusts_result({.rejections = 2}));
+    cr_assert(needs_separate_prefill({.rejections = 1}, false));
+    cr_assert(!needs_separate_prefill({.rejections = 2}, false));
+    cr_assert(!is_result_suspect({.rejections = 1}));
+    cr_assert(is_result_suspect({.rejections = 2}));
 }
 
 Test(attempts, prefills_are_bounded_and_not_repeated_for_a_kept_result) {
-    cr_assert(reads_prompt_apart({.prefills = 2}, false));
-    cr_assert(!reads_prompt_apart({.prefills = 3}, false));
-    cr_assert(!reads_prompt_apart({}, true));
+    cr_assert(needs_separate_prefill({.prefills = 2}, false));
+    cr_assert(!needs_separate_prefill({.prefills = 3}, false));
+    cr_assert(!needs_separate_prefill({}, true));
 }
 
 Test(attempts, a_tried_engine_may_serve_again_unless_one_has_rejected) {
-    cr_assert(may_return_to_engine({.unreachable = 1}));
-    cr_assert(!may_return_to_engine({.rejections = 1}));
+    cr_assert(may_reuse_tried_engine({.unreachable = 1}));
+    cr_assert(!may_reuse_tried_engine({.rejections = 1}));
 }
 
 Test(attempts, repeats_of_peers_are_waited_for_a_few_times) {
     attempts so_far;
     int waits = 0;
-    while (without_allowance(so_far, true).what == action::await_loan) {
+    while (after_allowance_spent(so_far, true).what == action::await_loan) {
         ++so_far.loan_waits;
         cr_assert(++waits <= 2);
     }
     cr_assert(waits == 2);
-    cr_assert(without_allowance(so_far, true).what == action::give_up);
-    cr_assert(without_allowance({}, false).what == action::give_up);
+    cr_assert(after_allowance_spent(so_far, true).what == action::give_up);
+    cr_assert(after_allowance_spent({}, false).what == action::give_up);
 }
--- a/libs/mintknotd-platform/policy/tests/test_call_charges.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_call_charges.cpp
@@ -12,7 +12,7 @@
 int send(call_charges& charges, int calls) {
     const int before = charges.prepaid;
     charges.prepaid =
-        std::max(charges.prepaid, repeats_to_prepay(charges, calls));
+        std::max(charges.prepaid, retries_to_prepay(charges, calls));
     const int paid = charges.prepaid - before;
     note_sent(charges);
     return paid;
--- a/libs/mintknotd-platform/policy/tests/test_entry_check.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_entry_check.cpp
@@ -120,7 +120,7 @@
 Test(entry_check, old_knowledge_is_refused_for_now) {
     const traffic::configuration config = with_organisations();
     entry_conditions conditions = conditions_of(config);
-    conditions.known = {milliseconds{9000}, milliseconds{5000}};
+    conditions.freshness = {milliseconds{9000}, milliseconds{5000}};
     const entry_decision decision = check_with(conditions, "key");
     cr_assert_eq(decision.status, 503);
     cr_assert(decision.reason == "old_knowledge");
--- a/libs/mintknotd-platform/policy/tests/test_lease.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_lease.cpp
@@ -19,23 +19,27 @@
 
 Test(lease, a_missing_row_and_the_own_one_are_free) {
     lease_view view;
-    see(view, 0, "", start);
+    observe(view, 0, "", start);
     cr_assert(may_take(view, "me", terms, start));
-    see(view, 7, "me", start);
+    observe(view, 7, "me", start);
     cr_assert(may_take(view, "me", terms, start));
 }
 
 Test(lease, anothers_row_must_rest_until_its_holder_cannot_order) {
     lease_view view;
-    see(view, 7, "other", start);
-    const auto rest = terms.length + terms.use + terms.margin;
-    cr_assert(!may_take(view, "me", terms, start + rest - milliseconds(1)));
-    cr_assert(may_take(view, "me", terms, start + rest));
+    observe(view, 7, "other", start);
+    const auto takeover_delay =
+        terms.length + terms.order_period + terms.margin;
+    cr_assert(
+        !may_take(view, "me", terms, start + takeover_delay - milliseconds(1)));
+    cr_assert(may_take(view, "me", terms, start + takeover_delay));
     // A new version begins the rest anew; seeing it again does not.
-    see(view, 8, "other", start + rest);
-    see(view, 8, "other", start + rest + milliseconds(500));
-    cr_assert(!may_take(view, "me", terms, start + rest + milliseconds(600)));
-    cr_assert(may_take(view, "me", terms, start + rest + rest));
+    observe(view, 8, "other", start + takeover_delay);
+    observe(view, 8, "other", start + takeover_delay + milliseconds(500));
+    cr_assert(!may_take(
+        view, "me", terms, start + takeover_delay + milliseconds(600)));
+    cr_assert(
+        may_take(view, "me", terms, start + takeover_delay + takeover_delay));
 }
 
 Test(lease, between_orders_of_two_holders_lies_a_lease) {
@@ -43,11 +47,11 @@
     // it counts from before its call; the new one has seen the row just when
     // it was written.
     const held_lease old_lease{7, start};
-    const auto last_order = start + terms.use - milliseconds(1);
+    const auto last_order = start + terms.order_period - milliseconds(1);
     cr_assert(may_order(old_lease, terms, last_order));
-    cr_assert(!may_order(old_lease, terms, start + terms.use));
+    cr_assert(!may_order(old_lease, terms, start + terms.order_period));
     lease_view view;
-    see(view, 7, "old", start);
+    observe(view, 7, "old", start);
     for (auto now = start; now < last_order + terms.length;
          now += milliseconds(10))
         cr_assert(!may_take(view, "new", terms, now));
--- a/libs/mintknotd-platform/policy/tests/test_retry_allowance.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_retry_allowance.cpp
@@ -17,7 +17,7 @@
     base::steady_time now, base::steady_time started = {}) {
     int count = 0;
     while (count < 1000 &&
-           spend(allowance, bounds, {instances, fleet, started}, now))
+           spend_retry(allowance, bounds, {instances, fleet, started}, now))
         ++count;
     return count;
 }
@@ -42,7 +42,7 @@
     retry_allowance allowance;
     spend_all(allowance, 10, alone, start);
     for (int i = 0; i < 10; ++i)
-        earn(allowance, bounds, start);
+        earn_retries(allowance, bounds, start);
     cr_assert(spend_all(allowance, 10, alone, start) == 2);
 }
 
@@ -67,7 +67,7 @@
     retry_allowance allowance;
     cr_assert(spend_all(allowance, 10, idle, start, start) == 0);
     for (int i = 0; i < 11; ++i)
-        earn(allowance, bounds, start);
+        earn_retries(allowance, bounds, start);
     cr_assert(spend_all(allowance, 10, idle, start, start) == 2);
     const auto soon = start + std::chrono::seconds(9);
     cr_assert(spend_all(allowance, 10, idle, soon, start) <= 2);
@@ -83,32 +83,32 @@
         for (std::size_t i = 0; i < side; ++i) {
             retry_allowance allowance;
             const fleet_usage heard{used, side - 1};
-            used.repeats += spend_all(allowance, 9, heard, start);
+            used.retries += spend_all(allowance, 9, heard, start);
         }
-        spent += static_cast<int>(used.repeats);
+        spent += static_cast<int>(used.retries);
     }
     cr_assert(spent <= 50, "spent %d", spent);
 }
 
 Test(retry_allowance, usage_slides) {
     retry_allowance allowance;
-    earn(allowance, bounds, start);
-    cr_assert(spend(allowance, bounds, {10, alone}, start));
+    earn_retries(allowance, bounds, start);
+    cr_assert(spend_retry(allowance, bounds, {10, alone}, start));
     cr_assert(usage(allowance, bounds, start).requests == 1);
-    cr_assert(usage(allowance, bounds, start).repeats == 1);
+    cr_assert(usage(allowance, bounds, start).retries == 1);
     const retry_usage later =
         usage(allowance, bounds, start + std::chrono::seconds(11));
     cr_assert(later.requests == 0);
-    cr_assert(later.repeats == 0);
+    cr_assert(later.retries == 0);
 }
 
 Test(retry_allowance, a_window_of_another_length_counts_anew) {
     retry_allowance allowance;
-    earn(allowance, bounds, start);
-    cr_assert(spend(allowance, bounds, {10, alone}, start));
+    earn_retries(allowance, bounds, start);
+    cr_assert(spend_retry(allowance, bounds, {10, alone}, start));
     const retry_bounds longer{0.2, 50.0, base::milliseconds(30000)};
     cr_assert(usage(allowance, longer, start).requests == 0);
-    earn(allowance, longer, start);
+    earn_retries(allowance, longer, start);
     cr_assert(usage(allowance, longer, start).requests == 1);
     const auto later = start + std::chrono::seconds(35);
     cr_assert(usage(allowance, longer, later).requests == 0);
--- a/libs/mintknotd-platform/policy/tests/test_retry_bound.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_retry_bound.cpp
@@ -18,27 +18,27 @@
 constexpr std::size_t instances = 58;
 constexpr int requests_per_second = 356;
 /// Calls that full servers turn away are sent again up to so often.
-constexpr int repeats_wanted = 3;
+constexpr int retries_wanted = 3;
 const retry_bounds bounds{0.2, 156.0, milliseconds{10000}};
 const base::steady_time begin = base::steady_time{} + std::chrono::hours(1);
 
 /// One instance, and what the others have last heard of it.
 struct member {
     retry_allowance allowance;
-    retry_usage told;
-    base::steady_time told_at = begin;
+    retry_usage reported;
+    base::steady_time reported_at = begin;
 };
 
 class group {
 public:
-    /// @param silence time between two heartbeats of one instance.
-    explicit group(milliseconds silence)
-        : silence_(silence)
+    /// @param heartbeat_interval time between two heartbeats of one instance.
+    explicit group(milliseconds heartbeat_interval)
+        : heartbeat_interval_(heartbeat_interval)
         , members_(instances) {}
 
     /// Plays so long. @return the most that was used of the bound in any
     /// window, as a share of what the bound allows.
-    double play(milliseconds time, bool servers_full) {
+    double simulate(milliseconds time, bool servers_full) {
         double largest = 0.0;
         const base::steady_time end = now_ + time;
         const milliseconds gap{1000 / requests_per_second};
@@ -52,14 +52,14 @@
 private:
     void request(bool servers_full) {
         member& at = members_[next_++ % instances];
-        earn(at.allowance, bounds, now_);
+        earn_retries(at.allowance, bounds, now_);
         requests_.push_back(now_);
-        for (int i = 0; servers_full && i < repeats_wanted; ++i)
-            if (spend(at.allowance, bounds, terms_for(at), now_))
-                repeats_.push_back(now_);
-        if (now_ - at.told_at >= silence_) {
-            at.told = usage(at.allowance, bounds, now_);
-            at.told_at = now_;
+        for (int i = 0; servers_full && i < retries_wanted; ++i)
+            if (spend_retry(at.allowance, bounds, terms_for(at), now_))
+                retries_.push_back(now_);
+        if (now_ - at.reported_at >= heartbeat_interval_) {
+            at.reported = usage(at.allowance, bounds, now_);
+            at.reported_at = now_;
         }
     }
 
@@ -71,33 +71,33 @@
         for (const member& other : members_) {
             if (&other == &self)
                 continue;
-            terms.fleet.peers.requests += other.told.requests;
-            terms.fleet.peers.repeats += other.told.repeats;
+            terms.fleet.peers.requests += other.reported.requests;
+            terms.fleet.peers.retries += other.reported.retries;
         }
         return terms;
     }
 
     double share_used() {
-        for (auto* times : {&requests_, &repeats_})
+        for (auto* times : {&requests_, &retries_})
             while (!times->empty() && now_ - times->front() > bounds.window)
                 times->pop_front();
         const double allowed =
             bounds.extra + bounds.ratio * static_cast<double>(requests_.size());
-        return static_cast<double>(repeats_.size()) / allowed;
+        return static_cast<double>(retries_.size()) / allowed;
     }
 
-    milliseconds silence_;
+    milliseconds heartbeat_interval_;
     std::vector<member> members_;
     std::size_t next_ = 0;
     base::steady_time now_ = begin;
     std::deque<base::steady_time> requests_;
-    std::deque<base::steady_time> repeats_;
+    std::deque<base::steady_time> retries_;
 };
 
-double largest_share(milliseconds silence) {
-    group all(silence);
-    all.play(std::chrono::seconds(15), false);
-    return all.play(std::chrono::seconds(15), true);
+double largest_share(milliseconds heartbeat_interval) {
+    group all(heartbeat_interval);
+    all.simulate(std::chrono::seconds(15), false);
+    return all.simulate(std::chrono::seconds(15), true);
 }
 
 } // namespace
--- a/libs/mintknotd-platform/policy/tests/test_row_expiry.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_row_expiry.cpp
@@ -1,5 +1,5 @@
-#include <mintknot/policy/news_age.hpp>
 #include <mintknot/policy/row_expiry.hpp>
+#include <mintknot/policy/staleness_bounds.hpp>
 
 #include <criterion/criterion.h>
 
@@ -7,21 +7,22 @@
 using std::chrono::milliseconds;
 
 Test(row_expiry, rows_have_less_time_than_the_drain_bound) {
-    cr_assert(row_return_time(milliseconds{1200}) == milliseconds{800});
-    cr_assert(row_return_time(milliseconds{9000}) == milliseconds{1600});
-    cr_assert(row_return_time(milliseconds{100}) == removal_gather_time);
+    cr_assert(row_recovery_time(milliseconds{1200}) == milliseconds{800});
+    cr_assert(row_recovery_time(milliseconds{9000}) == milliseconds{1600});
+    cr_assert(row_recovery_time(milliseconds{100}) == removal_batch_time);
 }
 
 Test(row_expiry, a_removal_is_not_held_beyond_the_drain_bound) {
     constexpr milliseconds bound{2000};
     const mintknot::base::steady_time seen{};
-    const auto limit = removal_limit(seen, bound, seen + milliseconds{300});
-    cr_assert(limit + request_way == seen + bound);
+    const auto limit =
+        removal_hold_deadline(seen, bound, seen + milliseconds{300});
+    cr_assert(limit + request_travel_time == seen + bound);
     // What went while the store was out of reach for longer may only have
     // lapsed.
     const auto never = mintknot::base::steady_time::max();
-    cr_assert(removal_limit(seen, bound, seen + bound) == never);
-    cr_assert(removal_limit(std::nullopt, bound, seen) == never);
+    cr_assert(removal_hold_deadline(seen, bound, seen + bound) == never);
+    cr_assert(removal_hold_deadline(std::nullopt, bound, seen) == never);
 }
 
 Test(row_expiry, a_quarter_of_all_servers_does_not_leave_at_once) {
--- a/libs/mintknotd-platform/policy/tests/test_server_limit.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_server_limit.cpp
@@ -188,9 +188,9 @@
 
 Test(server_limit, limits_without_reports_expire) {
     limit_view view = limited_view(2.0, 1, start);
-    expire_limits(view, start + limit_life);
+    expire_limits(view, start + limit_lifetime);
     cr_assert(limit_of(view, id) == 2.0);
-    expire_limits(view, start + limit_life + milliseconds{1});
+    expire_limits(view, start + limit_lifetime + milliseconds{1});
     cr_assert(!limit_of(view, id));
 }
 
--- a/libs/mintknotd-platform/policy/tests/test_server_rest.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_server_rest.cpp
@@ -70,7 +70,7 @@
     note_rest(f.health.resting, "b", milliseconds(2000), start);
     cr_assert(f.place(f.app, placement_kind::plain).server.empty());
     cr_assert(
-        *time_until_first_end(
+        *time_until_first_rest_end(
             f.health.resting, traffic::open_servers(f.servers, "app"), start) ==
         milliseconds(2000));
 }
--- a/libs/mintknotd-platform/policy/tests/test_usage_account.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_usage_account.cpp
@@ -63,9 +63,9 @@
 Test(usage_account, refused_callers_are_told_times_that_follow_each_other) {
     usage_account account;
     draw(account, terms, 200.0, start);
-    const milliseconds first = draw(account, terms, 100.0, start).come_back;
-    const milliseconds second = draw(account, terms, 100.0, start).come_back;
-    const milliseconds third = draw(account, terms, 100.0, start).come_back;
+    const milliseconds first = draw(account, terms, 100.0, start).retry_after;
+    const milliseconds second = draw(account, terms, 100.0, start).retry_after;
+    const milliseconds third = draw(account, terms, 100.0, start).retry_after;
     cr_assert(first == milliseconds{100});
     cr_assert(second == milliseconds{200});
     cr_assert(third == milliseconds{300});
@@ -81,8 +81,8 @@
         const draw_result drawn = draw(account, terms, 150.0, start);
         if (drawn.granted)
             continue;
-        cr_assert(drawn.come_back >= min_limit_return);
-        cr_assert(drawn.come_back <= max_limit_return);
+        cr_assert(drawn.retry_after >= min_limit_retry_after);
+        cr_assert(drawn.retry_after <= max_limit_retry_after);
     }
 }
 
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
@@ -138,7 +138,7 @@
 };
 
 /// @return how old the configuration in force may be.
-policy::knowledge knowledge_of(const router_context& context);
+policy::configuration_freshness knowledge_of(const router_context& context);
 
 /// @return for how long a server may have been leaving without this instance
 /// knowing it; nothing: it cannot be told.
--- a/libs/mintknotd-platform/relay/src/caller_session.cpp
+++ b/libs/mintknotd-platform/relay/src/caller_session.cpp
@@ -206,7 +206,7 @@
     conditions.grace = context_.state.grace;
     conditions.open_body_bytes = context_.state.open_body_bytes;
     conditions.max_body_bytes = context_.options.max_body_bytes;
-    conditions.known = knowledge_of(context_);
+    conditions.freshness = knowledge_of(context_);
     return conditions;
 }
 
--- a/libs/mintknotd-platform/relay/src/exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/exchange.cpp
@@ -66,7 +66,7 @@
 }
 
 void exchange::start() {
-    policy::earn(
+    policy::earn_retries(
         context_.state.allowances[service_.name], context_.state.retry_bounds,
         context_.loop.now());
     if (request_.terms.deadline)
@@ -136,7 +136,7 @@
     const policy::access_decision found = policy::check_access(
         now.organisations.get(), route_.open_to_all, request_.terms.key,
         knowledge_of(context_));
-    if (found.what == policy::access_verdict::old_knowledge) {
+    if (found.what == policy::access_verdict::stale_configuration) {
         refuse(
             status_unavailable, "old_knowledge",
             policy::return_after_entry_refusal);
--- a/libs/mintknotd-platform/relay/src/generation_decode.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_decode.cpp
@@ -36,8 +36,8 @@
     }
     if (!still_allowed())
         return;
-    if (!prepay(policy::repeats_to_prepay(charges_, 1))) {
-        take(policy::without_allowance(
+    if (!prepay(policy::retries_to_prepay(charges_, 1))) {
+        take(policy::after_allowance_spent(
             attempts_, policy::is_large(context_.state.instances)));
         return;
     }
--- a/libs/mintknotd-platform/relay/src/generation_decode_end.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_decode_end.cpp
@@ -28,7 +28,7 @@
         policy::call_end::rejected, route_, attempts_);
     if (step.what == policy::action::send_again) {
         context_.metrics.count_repeat(step.reason);
-        if (policy::distrusts_result(attempts_))
+        if (policy::is_result_suspect(attempts_))
             drop_result();
     }
     take(step);
--- a/libs/mintknotd-platform/relay/src/generation_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_exchange.cpp
@@ -60,7 +60,7 @@
 
 policy::placement_query generation_exchange::query() const {
     const bool reads_apart =
-        policy::reads_prompt_apart(attempts_, result_usable());
+        policy::needs_separate_prefill(attempts_, result_usable());
     policy::placement_query wanted;
     wanted.service = service_.name;
     wanted.kind = reads_apart ? policy::placement_kind::prefill_and_decode
@@ -70,7 +70,7 @@
     wanted.read_limit = policy::prefill_time_limit(
         route_.target_latency, since_arrival(),
         policy::mean_hand_over(context_.state.demands[service_.name]));
-    wanted.may_return = policy::may_return_to_engine(attempts_);
+    wanted.may_return = policy::may_reuse_tried_engine(attempts_);
     wanted.excluded = decode_.tried;
     wanted.excluded_prefill = prefill_.tried;
     return wanted;
@@ -109,7 +109,7 @@
     const traffic::server* prefill =
         traffic::find(context_.state.servers, placed.prefill);
     if (prefill != nullptr && may_send_to(context_, *prefill) &&
-        prepay(policy::repeats_to_prepay(charges_, policy::calls_with_prefill)))
+        prepay(policy::retries_to_prepay(charges_, policy::calls_with_prefill)))
         start_prefill(*prefill, placed.tokens_ahead);
     else
         start_decode();
--- a/libs/mintknotd-platform/relay/src/plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.cpp
@@ -225,7 +225,7 @@
         end_with(step.what, step);
         return;
     }
-    if (step.costs_repeat) {
+    if (step.costs_retry) {
         if (!spend_repeat(context_, service_.name)) {
             end_with(step.otherwise, step);
             return;
--- a/libs/mintknotd-platform/relay/src/router_state.cpp
+++ b/libs/mintknotd-platform/relay/src/router_state.cpp
@@ -2,7 +2,7 @@
 
 #include <mintknot/policy/group.hpp>
 #include <mintknot/policy/queue_order.hpp>
-#include <mintknot/policy/repeat_rights.hpp>
+#include <mintknot/policy/retry_quota.hpp>
 
 #include <algorithm>
 #include <set>
@@ -22,8 +22,8 @@
 
 } // namespace
 
-policy::knowledge knowledge_of(const router_context& context) {
-    policy::knowledge known;
+policy::configuration_freshness knowledge_of(const router_context& context) {
+    policy::configuration_freshness known;
     known.revocation_bound = context.options.revocation_bound;
     if (context.state.configuration_confirmed)
         known.age = std::chrono::duration_cast<base::milliseconds>(
@@ -99,7 +99,7 @@
         if (found == told.by_service.end())
             continue;
         fleet.peers.requests += found->second.requests;
-        fleet.peers.repeats += found->second.repeats;
+        fleet.peers.retries += found->second.retries;
     }
     return fleet;
 }
@@ -180,7 +180,7 @@
 return_after_outage(router_context& context, const std::string& service) {
     if (const auto limited = limited_return_time(context, service))
         return *limited;
-    const auto rest = policy::time_until_first_end(
+    const auto rest = policy::time_until_first_rest_end(
         context.state.health.resting,
         traffic::open_servers(context.state.servers, service),
         context.loop.now());
@@ -210,8 +210,8 @@
     policy::retry_allowance& allowance = context.state.allowances[service];
     const policy::retry_bounds& bounds = context.state.retry_bounds;
     const policy::spend_terms terms = spend_terms_for(context, service);
-    const bool allowed = policy::spend(allowance, bounds, terms, now);
-    const int wanted = policy::repeats_to_borrow(allowance, bounds, terms, now);
+    const bool allowed = policy::spend_retry(allowance, bounds, terms, now);
+    const int wanted = policy::retries_to_borrow(allowance, bounds, terms, now);
     if (wanted > 0 && context.state.on_repeats_low)
         context.state.on_repeats_low(service, wanted);
     return allowed;
--- a/libs/mintknotd-platform/relay/tests/test_generation_exchange.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_generation_exchange.cpp
@@ -3,7 +3,7 @@
 
 #include <mintknot/http1/serialize.hpp>
 
-#include <mintknot/policy/repeat_rights.hpp>
+#include <mintknot/policy/retry_quota.hpp>
 
 #include <criterion/criterion.h>
 
@@ -445,7 +445,7 @@
     f.context.state.on_repeats_low = [&](const std::string&, int) {
         const base::steady_time asked = f.owner.now();
         answer.start(base::milliseconds(5), [&f, asked] {
-            policy::borrow(
+            policy::add_borrowed_retries(
                 f.context.state.allowances["llm"], 4, asked, f.owner.now());
         });
     };
--- a/libs/mintknotd-platform/relay/tests/test_router_state.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_router_state.cpp
@@ -21,11 +21,11 @@
     note_retries(state, "a", 2, used(1), start + std::chrono::seconds(5));
     const auto fleet =
         fleet_usage_of(state, "llm", start + std::chrono::seconds(5));
-    cr_assert(fleet.peers.repeats == 8);
+    cr_assert(fleet.peers.retries == 8);
     cr_assert(fleet.heard == 1);
     const auto later =
         fleet_usage_of(state, "llm", start + std::chrono::seconds(11));
-    cr_assert(later.peers.repeats == 1);
+    cr_assert(later.peers.retries == 1);
 }
 
 Test(router_state, retries_of_a_silent_peer_count_until_the_window_is_over) {
@@ -33,7 +33,7 @@
     note_retries(state, "a", 1, used(7), start);
     const auto fleet =
         fleet_usage_of(state, "llm", start + std::chrono::seconds(8));
-    cr_assert(fleet.peers.repeats == 7);
+    cr_assert(fleet.peers.retries == 7);
     cr_assert(fleet.heard == 0);
     note_retries(state, "b", 1, used(0), start + std::chrono::seconds(20));
     cr_assert(state.retries_of_peers.size() == 1);
--- a/libs/mintknotd-platform/runtime/src/document_sync.cpp
+++ b/libs/mintknotd-platform/runtime/src/document_sync.cpp
@@ -22,10 +22,10 @@
 constexpr base::milliseconds max_snapshots_ahead{1500};
 
 state::reader_options
-options_for(const policy::news_times& times, base::milliseconds watch) {
+options_for(const policy::staleness_bounds& times, base::milliseconds watch) {
     state::reader_options options;
     options.wait = std::min(options.wait, watch);
-    options.max_backoff = std::min(options.max_backoff, times.pause);
+    options.max_backoff = std::min(options.max_backoff, times.retry_pause);
     return options;
 }
 
@@ -36,8 +36,9 @@
     document_handlers handlers)
     : owner_(ports.loop)
     , drain_bound_(options.drain_bound)
-    , configuration_news_(policy::news_times_for(options.configuration_bound))
-    , server_news_(policy::news_times_for(options.drain_bound))
+    , configuration_news_(
+          policy::staleness_bounds_for(options.configuration_bound))
+    , server_news_(policy::staleness_bounds_for(options.drain_bound))
     , handlers_(std::move(handlers))
     , replica_(ports.codec, ports.log, replica_functions())
     , store_(
@@ -46,11 +47,13 @@
            [this](collection what) { return overdue_from(what); }})
     , configuration_reader_(
           ports.loop, store_, replica_, collection::configuration, ports.log,
-          options_for(configuration_news_, configuration_news_.own_watch),
+          options_for(
+              configuration_news_, configuration_news_.unfollowed_watch),
           ports.draw)
     , server_reader_(
           ports.loop, store_, replica_, collection::servers, ports.log,
-          options_for(server_news_, server_news_.backed_watch), ports.draw)
+          options_for(server_news_, server_news_.peer_checked_watch),
+          ports.draw)
     , feed_(
           ports.loop, replica_,
           [this](collection what) { return reader_of(what).position(); },
@@ -80,9 +83,9 @@
     const auto confirmed = reader_of(what).confirmed();
     if (!confirmed)
         return std::nullopt;
-    const policy::news_times& times =
+    const policy::staleness_bounds& times =
         what == collection::configuration ? configuration_news_ : server_news_;
-    return *confirmed + times.patience;
+    return *confirmed + times.max_age;
 }
 
 void document_sync::on_configuration_position() {
@@ -166,8 +169,8 @@
 }
 
 void document_sync::use_large_group_pace() {
-    configuration_reader_.set_wait(configuration_news_.shared_watch);
-    server_reader_.set_wait(server_news_.shared_watch);
+    configuration_reader_.set_wait(configuration_news_.relayed_watch);
+    server_reader_.set_wait(server_news_.relayed_watch);
     fetcher_.set_server_patience(large_group_patience);
 }
 
--- a/libs/mintknotd-platform/runtime/src/document_sync.hpp
+++ b/libs/mintknotd-platform/runtime/src/document_sync.hpp
@@ -8,7 +8,7 @@
 #include "shared_store.hpp"
 #include "snapshot_fetcher.hpp"
 
-#include <mintknot/policy/news_age.hpp>
+#include <mintknot/policy/staleness_bounds.hpp>
 #include <mintknot/state/store_reader.hpp>
 
 #include <functional>
@@ -112,8 +112,8 @@
 
     event::loop& owner_;
     base::milliseconds drain_bound_;
-    policy::news_times configuration_news_;
-    policy::news_times server_news_;
+    policy::staleness_bounds configuration_news_;
+    policy::staleness_bounds server_news_;
     bool reads_ = false;
     document_scope scope_ = document_scope::everything;
     bool catching_up_ = false; ///< With servers, after a time without them.
--- a/libs/mintknotd-platform/runtime/src/instance_wiring.cpp
+++ b/libs/mintknotd-platform/runtime/src/instance_wiring.cpp
@@ -4,7 +4,7 @@
 #include "instance_impl.hpp"
 
 #include <mintknot/base/random.hpp>
-#include <mintknot/policy/news_age.hpp>
+#include <mintknot/policy/staleness_bounds.hpp>
 #include <mintknot/relay/server_notices.hpp>
 
 #include <fmt/format.h>
@@ -75,7 +75,7 @@
               take(fresh, cause);
           }) {
     context.options.named_server_life =
-        policy::named_life(settings.drain_bound);
+        policy::named_server_lifetime(settings.drain_bound);
     context.state.retry_bounds = settings.retry_bounds;
     context.state.instances = policy::assumed_instances(1);
     context.state.started = ports.loop.now();
--- a/libs/mintknotd-platform/runtime/src/lapsed_servers.cpp
+++ b/libs/mintknotd-platform/runtime/src/lapsed_servers.cpp
@@ -13,7 +13,7 @@
     : owner_(owner)
     , log_(log)
     , drain_bound_(drain_bound)
-    , return_time_(policy::row_return_time(drain_bound))
+    , return_time_(policy::row_recovery_time(drain_bound))
     , remove_(std::move(remove))
     , known_(std::move(known))
     , timer_(owner) {}
@@ -27,9 +27,10 @@
     std::optional<base::steady_time> seen) {
     const base::steady_time now = owner_.now();
     held_[id] = version;
-    limit_ = std::min(limit_, policy::removal_limit(seen, drain_bound_, now));
+    limit_ = std::min(
+        limit_, policy::removal_hold_deadline(seen, drain_bound_, now));
     if (!timer_.active() || limit_ < settles_)
-        settle_at(std::max(hold_until_, now + policy::removal_gather_time));
+        settle_at(std::max(hold_until_, now + policy::removal_batch_time));
 }
 
 void lapsed_servers::settle_at(base::steady_time when) {
--- a/libs/mintknotd-platform/runtime/src/limit_messages.cpp
+++ b/libs/mintknotd-platform/runtime/src/limit_messages.cpp
@@ -40,7 +40,7 @@
         throw json::other_error::create(501, "invalid rate", &row);
     const auto age = row.at(3).get<std::int64_t>();
     value.age = base::milliseconds(std::clamp<std::int64_t>(
-        age, 0, base::milliseconds(policy::limit_life).count()));
+        age, 0, base::milliseconds(policy::limit_lifetime).count()));
     return value;
 }
 
--- a/libs/mintknotd-platform/runtime/src/repeat_lending.cpp
+++ b/libs/mintknotd-platform/runtime/src/repeat_lending.cpp
@@ -2,7 +2,7 @@
 
 #include <mintknot/base/random.hpp>
 #include <mintknot/policy/group.hpp>
-#include <mintknot/policy/repeat_rights.hpp>
+#include <mintknot/policy/retry_quota.hpp>
 
 #include <algorithm>
 
@@ -58,7 +58,7 @@
     const auto found = router_.state.allowances.find(request.service);
     if (found == router_.state.allowances.end())
         return;
-    const int repeats = policy::lend(
+    const int repeats = policy::lend_retries(
         found->second, router_.state.retry_bounds,
         relay::spend_terms_for(router_, request.service), request.repeats,
         router_.loop.now());
@@ -74,7 +74,7 @@
     if (found == questions_.end() || found->second.hosts.erase(host) == 0)
         return;
     const question& asked = found->second;
-    const int taken = policy::borrow(
+    const int taken = policy::add_borrowed_retries(
         router_.state.allowances[asked.service], offer.repeats, asked.asked,
         router_.loop.now());
     borrowed_ += taken;
@@ -86,7 +86,7 @@
 
 void repeat_lending::drop_old_questions(base::steady_time now) {
     std::erase_if(questions_, [now](const auto& item) {
-        return now - item.second.asked > policy::loan_life;
+        return now - item.second.asked > policy::loan_lifetime;
     });
 }
 
--- a/libs/mintknotd-platform/runtime/tests/test_repeat_lending.cpp
+++ b/libs/mintknotd-platform/runtime/tests/test_repeat_lending.cpp
@@ -1,7 +1,7 @@
 #include "relay_fixture.hpp"
 #include "repeat_lending.hpp"
 
-#include <mintknot/policy/repeat_rights.hpp>
+#include <mintknot/policy/retry_quota.hpp>
 
 #include <criterion/criterion.h>
 
--- a/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
@@ -3,7 +3,7 @@
 #include "load_reporter.hpp"
 #include "scheduler_directory.hpp"
 
-#include <mintknot/policy/answer_pace.hpp>
+#include <mintknot/policy/answer_timeout.hpp>
 #include <mintknot/policy/domain.hpp>
 #include <mintknot/scheduling/messages.hpp>
 
@@ -96,9 +96,9 @@
         ++entry.tries;
         entry.asked = host;
         ports.send(host, encode(request_for(number, entry)));
-        policy::note_asked(paces, host, now());
+        policy::note_query_sent(paces, host, now());
         const base::milliseconds patience =
-            policy::patience_for(paces, host, options.patience);
+            policy::answer_timeout(paces, host, options.patience);
         entry.patience.start(patience, [this, number, host] {
             directory.suspect(host);
             // What it had been told must be told to the next one.
@@ -215,7 +215,7 @@
     }
 
     void on_message(const std::string& host, const placement_answer& answer) {
-        policy::note_answered(paces, host, now());
+        policy::note_answer_received(paces, host, now());
         const auto found = questions.find(answer.number);
         if (found == questions.end() || found->second->asked != host) {
             reporter.correct(host);
@@ -255,7 +255,7 @@
     placer_options options;
     std::uint64_t last_number = 0;
     std::map<std::uint64_t, std::unique_ptr<question>> questions;
-    policy::answer_paces paces;
+    policy::answer_times paces;
     scheduler_directory directory;
     load_reporter reporter;
     std::shared_ptr<bool> life = std::make_shared<bool>(true);
