--- a/libs/mintknotd-platform/crashes/src/crash_messages.hpp
+++ b/libs/mintknotd-platform/crashes/src/crash_messages.hpp
@@ -29,7 +29,7 @@
 
 /// Announces requests that are blocked.
 struct block_announcement {
-    std::vector<policy::block_news> blocks;
+    std::vector<policy::block_entry> blocks;
 };
 
 /// Announces that a server has answered a request completely, which unblocks
--- a/libs/mintknotd-platform/crashes/src/crash_watch.cpp
+++ b/libs/mintknotd-platform/crashes/src/crash_watch.cpp
@@ -96,22 +96,22 @@
     }
 
     void schedule_evaluation() {
-        const auto due = policy::next_judgement(evidence);
+        const auto due = policy::next_evaluation(evidence);
         if (due)
             evaluation_timer.start(*due, [this] { evaluate(); });
     }
 
     void evaluate() {
         policy::expire(evidence, now());
-        const std::vector<policy::block_news> new_blocks =
-            policy::judge(evidence, now());
-        for (const policy::block_news& block : new_blocks)
+        const std::vector<policy::block_entry> new_blocks =
+            policy::evaluate_suspects(evidence, now());
+        for (const policy::block_entry& block : new_blocks)
             log_block(block, callbacks.own_host);
         broadcast_blocks(new_blocks);
         schedule_evaluation();
     }
 
-    void log_block(const policy::block_news& block, const std::string& by) {
+    void log_block(const policy::block_entry& block, const std::string& by) {
         router.log.write(
             "request_blocked", {{"digest", block.key.digest},
                                 {"for_ms", block.left.count()},
@@ -120,7 +120,7 @@
     }
 
     /// Announces new blocks to all instances and starts the periodic resends.
-    void broadcast_blocks(const std::vector<policy::block_news>& new_blocks) {
+    void broadcast_blocks(const std::vector<policy::block_entry>& new_blocks) {
         for (std::size_t i = 0; i < new_blocks.size(); i += max_entries) {
             const auto begin =
                 new_blocks.begin() + static_cast<std::ptrdiff_t>(i);
@@ -138,7 +138,8 @@
 
     void resend_blocks() {
         policy::expire(evidence, now());
-        std::vector<policy::block_news> known = policy::blocks(evidence, now());
+        std::vector<policy::block_entry> known =
+            policy::blocks(evidence, now());
         if (known.empty())
             return;
         if (known.size() > max_entries) {
@@ -168,8 +169,8 @@
     }
 
     void on_message(const std::string& host, const block_announcement& notice) {
-        std::vector<policy::block_news> new_blocks;
-        for (const policy::block_news& block : notice.blocks) {
+        std::vector<policy::block_entry> new_blocks;
+        for (const policy::block_entry& block : notice.blocks) {
             if (policy::recently_cleared(evidence, block.key.digest, now())) {
                 callbacks.send(
                     host, encode(clear_announcement{block.key.digest}));
--- a/libs/mintknotd-platform/crashes/tests/test_crash_messages.cpp
+++ b/libs/mintknotd-platform/crashes/tests/test_crash_messages.cpp
@@ -25,7 +25,7 @@
     const auto blocks = decode_crash_message(
         encode(block_announcement{{{{"d1", 10}, base::milliseconds(5), 2}}}));
     cr_assert(blocks.ok());
-    const policy::block_news& block =
+    const policy::block_entry& block =
         std::get<block_announcement>(*blocks).blocks.at(0);
     cr_assert(block.key.digest == "d1");
     cr_assert(block.left == base::milliseconds(5));
--- a/libs/mintknotd-platform/limits/src/group_tracker.cpp
+++ b/libs/mintknotd-platform/limits/src/group_tracker.cpp
@@ -22,7 +22,7 @@
             ++view.here;
     }
     std::erase_if(last_heard_, [now](const auto& item) {
-        return now - item.second > policy::silent_keeper_life;
+        return now - item.second > policy::silent_peer_timeout;
     });
     // `view.heard` counts this instance, `last_heard_` does not contain it.
     view.silent = last_heard_.size() - (view.heard - 1);
--- a/libs/mintknotd-platform/limits/src/usage_accounts.cpp
+++ b/libs/mintknotd-platform/limits/src/usage_accounts.cpp
@@ -6,7 +6,7 @@
 #include "usage_messages.hpp"
 
 #include <mintknot/base/random.hpp>
-#include <mintknot/policy/answer_pace.hpp>
+#include <mintknot/policy/answer_timeout.hpp>
 
 #include <algorithm>
 #include <map>
@@ -157,9 +157,9 @@
             host, encode(usage_request{
                       request_number, entry.organisation, entry.cost,
                       entry.account}));
-        policy::note_asked(paces, host, now());
+        policy::note_query_sent(paces, host, now());
         entry.timer.start(
-            policy::patience_for(paces, host, min_answer_timeout),
+            policy::answer_timeout(paces, host, min_answer_timeout),
             [this, number, host] { on_answer_timeout(number, host); });
     }
 
@@ -199,7 +199,7 @@
                 .value_or(policy::draw_result{true, base::milliseconds{0}});
         relay::usage_grant grant;
         grant.granted = drawn.granted;
-        grant.retry_after = drawn.come_back;
+        grant.retry_after = drawn.retry_after;
         finish(number, callbacks.own_host, number, std::move(grant));
     }
 
@@ -260,13 +260,13 @@
         if (drawn) {
             answer.verdict = drawn->granted ? usage_verdict::granted
                                             : usage_verdict::refused;
-            answer.retry_after = drawn->come_back;
+            answer.retry_after = drawn->retry_after;
         }
         callbacks.send(host, encode(answer));
     }
 
     void on_message(const std::string& host, const usage_answer& answer) {
-        policy::note_answered(paces, host, now());
+        policy::note_answer_received(paces, host, now());
         const auto found = outstanding.find(answer.number);
         if (found == outstanding.end() || found->second.host != host)
             return;
@@ -311,7 +311,7 @@
     account_table accounts;
     group_tracker group;
     keeper_directory directory;
-    policy::answer_paces paces;
+    policy::answer_times paces;
     std::optional<base::steady_time> refreshed_at;
     std::uint64_t last_number;
     std::map<std::uint64_t, std::unique_ptr<waiting_request>> waiting;
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
@@ -144,7 +144,8 @@
 };
 
 /// @return the age of the current configuration and the age that it may have.
-policy::knowledge configuration_freshness_of(const router_context& context);
+policy::configuration_freshness
+configuration_freshness_of(const router_context& context);
 
 /// @return the age of the server table: how long a server may already have been
 /// leaving without this instance knowing it; nullopt if the age is unknown.
--- a/libs/mintknotd-platform/relay/src/generation_decode_end.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_decode_end.cpp
@@ -29,7 +29,7 @@
         policy::call_end::rejected, route_, attempts_);
     if (step.what == policy::action::send_again) {
         context_.metrics.count_retry(step.reason);
-        if (policy::distrusts_result(attempts_))
+        if (policy::is_result_suspect(attempts_))
             release_result();
     }
     apply_step(step);
--- a/libs/mintknotd-platform/relay/src/plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.cpp
@@ -230,7 +230,7 @@
         end_with_step(step.what, step);
         return;
     }
-    if (step.costs_repeat) {
+    if (step.costs_retry) {
         if (!spend_retry(context_, service_.name)) {
             end_with_step(step.otherwise, step);
             return;
--- a/libs/mintknotd-platform/relay/src/router_state.cpp
+++ b/libs/mintknotd-platform/relay/src/router_state.cpp
@@ -2,7 +2,7 @@
 
 #include <mintknot/policy/group.hpp>
 #include <mintknot/policy/queue_order.hpp>
-#include <mintknot/policy/repeat_rights.hpp>
+#include <mintknot/policy/retry_quota.hpp>
 
 #include <algorithm>
 #include <set>
@@ -22,8 +22,9 @@
 
 } // namespace
 
-policy::knowledge configuration_freshness_of(const router_context& context) {
-    policy::knowledge known;
+policy::configuration_freshness
+configuration_freshness_of(const router_context& context) {
+    policy::configuration_freshness known;
     known.revocation_bound = context.options.revocation_bound;
     if (context.state.configuration_confirmed)
         known.age = std::chrono::duration_cast<base::milliseconds>(
@@ -100,7 +101,7 @@
         if (found == reported.by_service.end())
             continue;
         fleet.peers.requests += found->second.requests;
-        fleet.peers.repeats += found->second.repeats;
+        fleet.peers.retries += found->second.retries;
     }
     return fleet;
 }
@@ -182,7 +183,7 @@
 outage_retry_after(router_context& context, const std::string& service) {
     if (const auto limited = limited_retry_after(context, service))
         return *limited;
-    const auto rest = policy::time_until_first_end(
+    const auto rest = policy::time_until_first_rest_end(
         context.state.health.resting,
         traffic::open_servers(context.state.servers, service),
         context.loop.now());
@@ -213,9 +214,9 @@
         context.state.retry_allowances[service];
     const policy::retry_bounds& bounds = context.state.retry_bounds;
     const policy::spend_terms terms = spend_terms_for(context, service);
-    const bool allowed = policy::spend(allowance, bounds, terms, now);
+    const bool allowed = policy::spend_retry(allowance, bounds, terms, now);
     const int missing =
-        policy::repeats_to_borrow(allowance, bounds, terms, now);
+        policy::retries_to_borrow(allowance, bounds, terms, now);
     if (missing > 0 && context.state.on_retries_low)
         context.state.on_retries_low(service, missing);
     return allowed;
--- a/libs/mintknotd-platform/relay/tests/test_generation_exchange.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_generation_exchange.cpp
@@ -3,7 +3,7 @@
 
 #include <mintknot/http1/serialize.hpp>
 
-#include <mintknot/policy/repeat_rights.hpp>
+#include <mintknot/policy/retry_quota.hpp>
 
 #include <criterion/criterion.h>
 
@@ -466,7 +466,7 @@
     f.context.state.on_retries_low = [&](const std::string&, int) {
         const base::steady_time requested_at = f.owner.now();
         answer.start(base::milliseconds(5), [&f, requested_at] {
-            policy::borrow(
+            policy::add_borrowed_retries(
                 f.context.state.retry_allowances["llm"], 4, requested_at,
                 f.owner.now());
         });
--- a/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
@@ -3,7 +3,7 @@
 #include "load_reporter.hpp"
 #include "scheduler_directory.hpp"
 
-#include <mintknot/policy/answer_pace.hpp>
+#include <mintknot/policy/answer_timeout.hpp>
 #include <mintknot/policy/domain.hpp>
 #include <mintknot/scheduling/messages.hpp>
 
@@ -102,9 +102,9 @@
         ++entry.tries;
         entry.asked_host = host;
         callbacks.send(host, encode(request_for(number, entry)));
-        policy::note_asked(paces, host, now());
+        policy::note_query_sent(paces, host, now());
         const base::milliseconds timeout =
-            policy::patience_for(paces, host, options.answer_timeout);
+            policy::answer_timeout(paces, host, options.answer_timeout);
         entry.answer_timer.start(timeout, [this, number, host] {
             directory.suspect(host);
             // What was reported to it must be reported to the next scheduler.
@@ -227,7 +227,7 @@
     }
 
     void on_message(const std::string& host, const placement_answer& answer) {
-        policy::note_answered(paces, host, now());
+        policy::note_answer_received(paces, host, now());
         const auto found = pending.find(answer.number);
         if (found == pending.end() || found->second->asked_host != host) {
             reporter.schedule_correction(host);
@@ -268,7 +268,7 @@
     placer_options options;
     std::uint64_t last_number = 0;
     std::map<std::uint64_t, std::unique_ptr<pending_placement>> pending;
-    policy::answer_paces paces;
+    policy::answer_times paces;
     scheduler_directory directory;
     load_reporter reporter;
     std::shared_ptr<bool> alive_token = std::make_shared<bool>(true);
