--- a/libs/mintknotd-platform/orders/src/demand_report.cpp
+++ b/libs/mintknotd-platform/orders/src/demand_report.cpp
@@ -21,9 +21,9 @@
         service,
         demand.requests,
         demand.decode_seconds,
-        demand.reads,
-        demand.tokens,
-        demand.time,
+        demand.prefills,
+        demand.prefill_tokens,
+        demand.total_prefill_ms,
         demand.tokens_squared,
         demand.tokens_times_time};
 }
@@ -40,9 +40,9 @@
     policy::phase_demand demand;
     demand.requests = sum_from(row.at(1));
     demand.decode_seconds = sum_from(row.at(2));
-    demand.reads = sum_from(row.at(3));
-    demand.tokens = sum_from(row.at(4));
-    demand.time = sum_from(row.at(5));
+    demand.prefills = sum_from(row.at(3));
+    demand.prefill_tokens = sum_from(row.at(4));
+    demand.total_prefill_ms = sum_from(row.at(5));
     demand.tokens_squared = sum_from(row.at(6));
     demand.tokens_times_time = sum_from(row.at(7));
     return demand;
--- a/libs/mintknotd-platform/orders/src/demand_sharing.cpp
+++ b/libs/mintknotd-platform/orders/src/demand_sharing.cpp
@@ -31,7 +31,7 @@
         return;
     demand_map seen;
     for (const auto& [service, demand] : router_.state.demands)
-        if (demand.requests > 0.0 || demand.reads > 0.0)
+        if (demand.requests > 0.0 || demand.prefills > 0.0)
             seen[service] = demand;
     if (!seen.empty())
         ports_.send(host, encode(seen));
--- a/libs/mintknotd-platform/orders/src/phase_balancer.cpp
+++ b/libs/mintknotd-platform/orders/src/phase_balancer.cpp
@@ -85,7 +85,8 @@
             traffic::open_servers(context.state.servers, service);
         const policy::phase_demand demand =
             relay::group_demand(context.state, service, now());
-        if (policy::is_at_rest(open.size(), demand, estimated_rate(service)))
+        if (policy::is_nearly_idle(
+                open.size(), demand, estimated_rate(service)))
             return {};
         traffic::expire(context.state.loads, now());
         std::vector<policy::planned_engine> engines;
@@ -100,7 +101,7 @@
                          context.state.health, engine->id, now()) >
                          base::milliseconds{0}});
         }
-        return policy::plan_changes(
+        return policy::plan_phase_changes(
             engines, demand, [this](const traffic::server& engine) {
                 const traffic::server_load load =
                     traffic::total(context.state.loads, engine.id);
@@ -110,8 +111,9 @@
 
     double estimated_rate(const std::string& service) const {
         const auto own = context.state.demands.find(service);
-        const double seen =
-            own == context.state.demands.end() ? 0.0 : own->second.seen_here;
+        const double seen = own == context.state.demands.end()
+                                ? 0.0
+                                : own->second.local_requests;
         return policy::estimated_request_rate(
             seen,
             std::chrono::duration_cast<base::milliseconds>(
@@ -196,7 +198,7 @@
     /// Keeps everybody away from engines that are about to change.
     void announce(const std::vector<policy::phase_change>& changes) {
         for (const policy::phase_change& change : changes)
-            policy::note_change(
+            policy::note_phase_change(
                 context.state.health, change.server_id,
                 now() + options.change_time);
         if (context.state.on_order)
--- a/libs/mintknotd-platform/orders/tests/test_demand_sharing.cpp
+++ b/libs/mintknotd-platform/orders/tests/test_demand_sharing.cpp
@@ -29,7 +29,7 @@
     /// Some finished requests of the service.
     void see(int requests) {
         for (int i = 0; i < requests; ++i) {
-            policy::note_read_alone(
+            policy::note_uncontended_prefill(
                 f.context.state.demands["llm"], 1000.0 + i,
                 base::milliseconds(30));
             policy::note_decode(
@@ -64,7 +64,8 @@
     cr_assert_float_eq(sum.requests, 3.0 * own.requests, 1e-6);
     cr_assert_float_eq(sum.decode_seconds, 3.0 * own.decode_seconds, 1e-6);
     cr_assert_float_eq(
-        policy::prefill_seconds(sum), policy::prefill_seconds(own), 1e-6);
+        policy::mean_prefill_seconds(sum), policy::mean_prefill_seconds(own),
+        1e-6);
     const policy::phase_demand later = relay::group_demand(
         reader.f.context.state, "llm",
         now + relay::peer_demand_life + base::milliseconds(1));
--- a/libs/mintknotd-platform/peers/src/member_table.cpp
+++ b/libs/mintknotd-platform/peers/src/member_table.cpp
@@ -45,7 +45,7 @@
     for (const auto& [host, claim] : table.super_peers)
         if (claim.value.data_centre == data_centre)
             found.push_back({host, data_centre, claim.value.capacity});
-    return policy::ranked(std::move(found));
+    return policy::rank_members(std::move(found));
 }
 
 std::set<std::string> data_centres(const member_table& table) {
@@ -93,7 +93,7 @@
     roster& result, const std::vector<instance_info>& by_rank,
     std::size_t data_centre_count, bool with_successors) {
     const auto count = static_cast<std::ptrdiff_t>(
-        policy::super_peers_among(by_rank, data_centre_count));
+        policy::count_super_peers(by_rank, data_centre_count));
     result.super_peers.insert(
         result.super_peers.end(), by_rank.begin(), by_rank.begin() + count);
     if (!with_successors)
@@ -197,7 +197,8 @@
         const auto found = joined.find(name);
         if (found != joined.end() && ranks_here(table, name, now))
             add_ranked(
-                result, policy::ranked(found->second), all.size(), asked_for);
+                result, policy::rank_members(found->second), all.size(),
+                asked_for);
         else
             add_told(result, table, name, asked_for);
     }
--- a/libs/mintknotd-platform/peers/src/membership.cpp
+++ b/libs/mintknotd-platform/peers/src/membership.cpp
@@ -125,7 +125,7 @@
             staying(handlers.heard(), table.own.data_centre);
         hosts.push_back(table.own.host);
         return base::rendezvous_first(
-            registrar_job, hosts, policy::registrars_asked);
+            registrar_job, hosts, policy::max_registrars);
     }
 
     bool settled() const {
@@ -155,7 +155,7 @@
     void renew() {
         if (table.registrar)
             take(roster_for(table, table.own.data_centre, now()), {});
-        for (const std::string& host : policy::registrars(
+        for (const std::string& host : policy::registrars_to_ask(
                  members_in(table.view, table.own.data_centre), table.own.host,
                  silent_hosts()))
             join(host);
--- a/libs/mintknotd-platform/peers/src/peer_group.cpp
+++ b/libs/mintknotd-platform/peers/src/peer_group.cpp
@@ -49,8 +49,9 @@
     }
 
     std::size_t usual_hosts() const {
-        return policy::is_large(table.heard.size()) ? max_hosts_in_large_group
-                                                    : max_hosts;
+        return policy::is_large_group(table.heard.size())
+                   ? max_hosts_in_large_group
+                   : max_hosts;
     }
 
     /// @param most hosts that it names; 0: it asks for hosts.
--- a/libs/mintknotd-platform/peers/src/peer_table.cpp
+++ b/libs/mintknotd-platform/peers/src/peer_table.cpp
@@ -54,7 +54,7 @@
     }
     std::erase_if(table.candidates, [&](const auto& item) {
         return now - item.second >
-                   candidate_life + longest - policy::peer_life &&
+                   candidate_life + longest - policy::peer_lifetime &&
                !table.heard.contains(item.first);
     });
     return gone;
@@ -101,8 +101,9 @@
 base::milliseconds life(const peer_table& table) {
     // Others may have more far peers than this instance: all count.
     return std::max(
-        policy::peer_life, far_heartbeat_gap * missed_heartbeats_to_expire *
-                               static_cast<std::int64_t>(table.heard.size()));
+        policy::peer_lifetime,
+        far_heartbeat_gap * missed_heartbeats_to_expire *
+            static_cast<std::int64_t>(table.heard.size()));
 }
 
 std::vector<std::string>
@@ -120,7 +121,7 @@
 }
 
 bool is_large(const peer_table& table) {
-    return policy::is_large(instances(table));
+    return policy::is_large_group(instances(table));
 }
 
 } // namespace mintknot::peers
--- a/libs/mintknotd-platform/peers/tests/test_member_table.cpp
+++ b/libs/mintknotd-platform/peers/tests/test_member_table.cpp
@@ -55,7 +55,7 @@
                 take_roster(
                     table, roster_for(table, table.own.data_centre, now), false,
                     now);
-            for (const std::string& registrar : policy::registrars(
+            for (const std::string& registrar : policy::registrars_to_ask(
                      members_in(table.view, table.own.data_centre), host, dead))
                 exchange(host, registrar);
         }
--- a/libs/mintknotd-platform/peers/tests/test_peer_table.cpp
+++ b/libs/mintknotd-platform/peers/tests/test_peer_table.cpp
@@ -50,8 +50,8 @@
 Test(peer_table, silent_instances_expire_and_are_still_sought_for_a_while) {
     peer_table table;
     note(table, "a", beat(1, 1), start);
-    cr_assert(expire(table, start + policy::peer_life).empty());
-    const auto later = start + policy::peer_life + base::milliseconds(1);
+    cr_assert(expire(table, start + policy::peer_lifetime).empty());
+    const auto later = start + policy::peer_lifetime + base::milliseconds(1);
     cr_assert(expire(table, later) == std::vector<std::string>{"a"});
     cr_assert(contains(sought_hosts(table), "a"));
     expire(table, start + candidate_life + std::chrono::seconds(1));
@@ -101,7 +101,7 @@
     }
     cr_assert(near_period(table, base_period) == base_period);
     cr_assert(far_period(table, base_period) == base_period);
-    cr_assert(life(table) == policy::peer_life);
+    cr_assert(life(table) == policy::peer_lifetime);
 }
 
 Test(peer_table, rare_heartbeats_do_not_make_an_instance_gone) {
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/admission.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/admission.hpp
@@ -1,8 +1,9 @@
 /// @file
-/// Whether a request that finds no room waits or is refused at once.
+/// Admission control: whether a request for which no server is free waits or is
+/// refused at once.
 ///
-/// The forecast of room is as old as the loads it is made from: own ones are
-/// exact, those of peers 60 ms old or more (traffic/load_view.hpp).
+/// The wait is forecast from server loads (traffic/load_view.hpp): this
+/// instance's own loads are exact, those of peers are 60 ms old or more.
 #ifndef MINTKNOT_POLICY_ADMISSION_HPP
 #define MINTKNOT_POLICY_ADMISSION_HPP
 
@@ -12,8 +13,8 @@
 
 namespace mintknot::policy {
 
-/// The longest deadline that callers have named lately on one route: what a
-/// request brings that has not been refused before.
+/// The longest deadline that callers have recently sent on one route, which is
+/// the deadline of a request that has not been refused before.
 struct longest_deadline {
     base::milliseconds value{0};
     base::steady_time seen{};
@@ -23,56 +24,62 @@
     longest_deadline& longest, base::milliseconds deadline,
     base::steady_time now);
 
-/// @return true if a caller with that deadline has spent a part of it already,
-/// and so has been refused before.
-bool has_returned(
+/// @return true if the deadline is clearly shorter than the longest one: the
+/// caller has spent part of it on an earlier, refused try.
+bool was_refused_before(
     const longest_deadline& longest,
     std::optional<base::milliseconds> deadline);
 
-/// A request that finds no room.
+/// A request for which no server is free.
 struct unplaced_request {
     base::milliseconds waited{0}; ///< Since its arrival.
-    base::milliseconds target{0}; ///< Of its first event.
-    /// Until its deadline, or until its caller is expected to leave.
+    base::milliseconds target{0}; ///< For the time to its first event.
+    /// Until its deadline, or until its caller is expected to disconnect.
     base::milliseconds time_left{0};
-    bool begun = false; ///< An engine has worked, or may work, for it.
+    bool begun = false; ///< An engine has processed the request or may have.
 };
 
-/// @return true if an answer is still expected in time for the target.
+/// @return true if the first event is still expected within the target latency.
+/// @param expected_wait until the request can be placed; nothing: no server is
+/// expected to become free.
+/// @param start expected time from placement to the first event.
 bool can_meet_target(
     const unplaced_request& request,
     std::optional<base::milliseconds> expected_wait, base::milliseconds start);
 
-/// Decides by what callers gain; log events `no_room` and `given_up`. A request
-/// waits where it is expected to meet its target; else it is refused at once,
-/// for the room that it took later would be missed by one that can. That holds
-/// also for a caller that has been refused before: where such requests waited
-/// until their deadline, 1.1 in 100 fewer first tries met their target (thirty
-/// plays). Once an engine has read the prompt, the request waits where an
-/// answer is expected before its deadline.
+/// Decides whether a request waits for a server or is refused; see the log
+/// events `no_room` and `given_up`. A request waits if it is expected to meet
+/// its target. Otherwise it is refused at once, because the capacity that it
+/// would take later is then missing for a request that can still meet its
+/// target. This also holds for callers that have been refused before: letting
+/// them wait until their deadline made 1.1 in 100 fewer first tries meet their
+/// target (thirty simulated runs). Once an engine has read the prompt, the
+/// request waits if an answer is expected before its deadline.
 ///
-/// Against a fixed wait of a fifth of the target (three fifths for requests
-/// that came back), of 100 first tries on three deployments 0.5, 1.0 and 0.7
-/// more met their target, and the time for which requests were held and then
-/// refused fell by a quarter to a third (thirty plays each).
+/// Compared with a fixed wait of a fifth of the target (three fifths for
+/// callers that came back), 0.5, 1.0 and 0.7 more of 100 first tries met their
+/// target on three deployments, and the time for which requests were held and
+/// then refused fell by a quarter to a third (thirty simulated runs each).
 ///
-/// @param expected_wait nothing: no room is to be foreseen.
-/// @param start from a placement to the first event.
+/// @param expected_wait until the request can be placed; nothing: no server is
+/// expected to become free.
+/// @param start expected time from placement to the first event.
 bool should_wait(
     const unplaced_request& request,
     std::optional<base::milliseconds> expected_wait, base::milliseconds start);
 
-/// @return how long a caller of a stream waits for the first event: four times
-/// the target, eight times the longest pause between events, two seconds at
-/// least, as the users' callers do. Whoever has not been answered by then has
-/// left, and a refusal that would have brought it back comes too late.
-base::milliseconds
-first_event_patience(base::milliseconds target, base::milliseconds target_gap);
+/// @return how long the caller of a stream is assumed to wait for the first
+/// event: four times the target latency or eight times the target gap between
+/// events, whichever is longer, but at least two seconds. This is the rule that
+/// the callers themselves use. After that time the caller has disconnected, and
+/// a refusal would come too late to make it try again.
+base::milliseconds caller_first_event_timeout(
+    base::milliseconds target, base::milliseconds target_gap);
 
-/// Pause after some connections in a row have failed, for requests that wait:
-/// short against the time for which a server is avoided that could not be
-/// reached.
-inline constexpr base::milliseconds unreachable_pause{100};
+/// Delay before a waiting request tries to connect again after several failed
+/// connections in a row. Short compared with the time for which an unreachable
+/// server is avoided.
+inline constexpr base::milliseconds unreachable_retry_delay{100};
 
 } // namespace mintknot::policy
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/domain.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/domain.hpp
@@ -1,8 +1,10 @@
 /// @file
-/// Which servers one scheduler looks after, and which instance it is.
+/// Scheduling domains: which servers one scheduler places requests on, and
+/// which instance is the scheduler of a domain.
 ///
-/// Inputs: rows of servers and the hosts that are heard and stay. Log event:
-/// `scheduler_silent`; `placed_by` in `sent`, `prefill` and `decode`.
+/// Inputs: the server table, and the hosts of live instances that are not about
+/// to stop. Log event: `scheduler_silent`; field `placed_by` in `sent`,
+/// `prefill` and `decode`.
 #ifndef MINTKNOT_POLICY_DOMAIN_HPP
 #define MINTKNOT_POLICY_DOMAIN_HPP
 
@@ -21,10 +23,10 @@
     friend bool operator==(const domain&, const domain&) = default;
 };
 
-/// @return the domains of a service, that of the own data centre first.
-/// Services with more than max_unsplit_servers have one for each data
-/// centre, others one in all. Where no rows are held: the own data centre, then
-/// all of them.
+/// @return the domains of a service, the one of the own data centre first. A
+/// service with more than max_unsplit_servers servers has one domain for each
+/// data centre; any other has a single one. If this instance holds no server
+/// table, the result is the own data centre followed by all data centres.
 std::vector<domain> domains_of(
     const traffic::server_table& servers, const std::string& service,
     const std::string& own_data_centre);
@@ -33,19 +35,19 @@
 domain
 domain_of(const traffic::server_table& servers, const traffic::server& server);
 
-/// @return the host that schedules a domain: all that know the same hosts
-/// choose the same one. Empty if there are none.
+/// @return the host that schedules a domain, or an empty string without hosts.
+/// All instances that know the same hosts choose the same one.
 std::string
 scheduler_of(const domain& which, const std::vector<std::string>& hosts);
 
-/// Who places requests on a domain.
+/// The instances that place requests on a domain.
 struct domain_schedulers {
     std::string active;  ///< Empty: there is no host.
-    std::string standby; ///< Who would be next; empty: nobody.
+    std::string standby; ///< Takes over from the active one; empty: none.
 };
 
-/// @return the host of scheduler_of() and the one that would be next, for twice
-/// the hashes.
+/// @return the host of scheduler_of() and the one that takes over from it.
+/// Costs twice as many hashes as scheduler_of().
 domain_schedulers
 schedulers_of(const domain& which, const std::vector<std::string>& hosts);
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/engine_needs.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/engine_needs.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// What a generation request needs of its engines.
+/// How much decode memory and how much prefill time a generation request may
+/// take.
 #ifndef MINTKNOT_POLICY_ENGINE_NEEDS_HPP
 #define MINTKNOT_POLICY_ENGINE_NEEDS_HPP
 
@@ -9,26 +10,28 @@
 
 namespace mintknot::policy {
 
-/// What a caller says of a request's size, in tokens.
+/// The size of a request as stated by its caller, in tokens.
 struct request_size {
     double prompt = 0.0;
     double max_output = 0.0;
-    std::optional<double> expected_output; ///< The caller's own guess.
+    std::optional<double> expected_output; ///< The caller's own estimate.
 };
 
-/// @return tokens of a decode engine's memory that are reserved: the prompt and
-/// a part of the output. Requests are at different points of their output: on
-/// average each holds about half of it. Reserving 0.6 of the expected output
-/// in place of 0.8 raised worth from 0.535 to 0.579 (three plays each of a busy
-/// day with 86 instances); on two small deployments it made no difference.
+/// @return the tokens of decode memory to reserve: the prompt and a part of the
+/// output. Running requests are at different points of their output, so that
+/// each holds about half of it on average. Reserving 0.6 instead of 0.8 of the
+/// expected output raised the score from 0.535 to 0.579 (three simulated runs
+/// each of a busy day with 86 instances); on two small deployments it made no
+/// difference.
 double memory_needed(const request_size& size);
 
-/// @return how long a prefill engine may take for a prompt, its queue included.
-/// A decode engine that reads a prompt slows all its streams down: it does so
-/// only where a prefill engine would miss what is left of the target after the
-/// hand-over. Against half of the target that raised worth by 0.011, 0.008 and
-/// 0.018 (thirty plays each on three deployments).
-/// @param hand_over from the end of a prefill to the first event, on average.
+/// @return how long a prefill engine may take for a prompt, including the time
+/// in its queue. If no prefill engine can meet this, the decode engine reads
+/// the prompt itself, which slows down all its streams; so this is only done if
+/// the prefill engine would miss what is left of the target after the
+/// hand-over. Compared with a limit of half the target this raised the score by
+/// 0.011, 0.008 and 0.018 (thirty simulated runs each on three deployments).
+/// @param hand_over mean time from the end of a prefill to the first event.
 base::milliseconds prefill_time_limit(
     base::milliseconds target, base::milliseconds waited,
     base::milliseconds hand_over);
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/group.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/group.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// The group of instances: what size makes a difference, and who does what one
-/// instance is to do for others.
+/// The group of instances: the sizes from which it works differently, and which
+/// instance performs a duty that one does for all others.
 ///
-/// Inputs: the hosts that are heard and not about to stop, as old as their last
-/// heartbeat. Two instances may hear others and so give different answers for a
-/// while; each duty is harmless when two believe that it is theirs.
+/// Inputs: the hosts of live instances that are not about to stop, as recent as
+/// their last heartbeat. Two instances may know different hosts and so disagree
+/// for a while; each duty is harmless when two instances perform it.
 #ifndef MINTKNOT_POLICY_GROUP_HPP
 #define MINTKNOT_POLICY_GROUP_HPP
 
@@ -17,76 +17,84 @@
 
 namespace mintknot::policy {
 
-/// A larger group places requests by schedulers and reads the store through a
-/// few: what each tells all others grows with the square of the group, and
-/// choices by loads that are a moment old collide.
+/// Largest group in which every instance places its own requests. A larger one
+/// uses schedulers, and only a few instances read the store: the messages from
+/// each instance to all others grow with the square of the group size, and
+/// placements by slightly outdated loads collide.
 inline constexpr std::size_t max_small_group = 24;
 
-/// Services with more open servers are placed on by parts: nobody looks at all
-/// of them for each request.
+/// Services with more open servers are split by data centre, so that no
+/// instance has to score all of them for each request.
 inline constexpr std::size_t max_unsplit_servers = 24;
 
-/// After this time without a heartbeat an instance is taken for gone; in very
-/// large groups, where heartbeats are rarer, after peers::life(). Some lost
-/// heartbeats of a large group, at 1.3 s.
-inline constexpr base::milliseconds peer_life{4000};
+/// Time without a heartbeat after which an instance is considered gone; in very
+/// large groups, where heartbeats are less frequent, peers::life() is used.
+/// Allows for a few lost heartbeats of a large group, which sends one every 1.3
+/// s.
+inline constexpr base::milliseconds peer_lifetime{4000};
 
-/// @return true if the group is large.
-bool is_large(std::size_t instances);
+/// @return true if the group has more than max_small_group instances.
+bool is_large_group(std::size_t instances);
 
-/// @return how many instances share what is limited in all (connections, retry
-/// bound): those that lived at once, but ten at least, for an instance that has
-/// just started has not heard all yet.
-std::size_t assumed_instances(std::size_t heard_at_once);
+/// @return how many instances share a group-wide limit (connections, retries):
+/// the number of instances that were live at the same time, but at least ten,
+/// because an instance that has just started does not know all others yet.
+std::size_t assumed_instances(std::size_t live_at_once);
 
-/// How an instance of a large group learns what the store tells.
+/// How an instance of a large group follows changes in the store.
 struct store_access {
-    /// Instances of its data centre that it asks. None, or itself among them:
-    /// it asks the store.
+    /// Hosts of its data centre that it gets changes from. If empty, or if it
+    /// is one of them itself, it reads the store.
     std::vector<std::string> sources;
-    /// Whether it asks the store where all that it asks are out of the store's
-    /// reach, and not only where none of them answers.
-    bool stands_in = true;
-    /// Whether whole reads go to the sources as well: the store's link and its
-    /// prices bear those of a few, not those of a thousand.
-    bool shares_reads = false;
+    /// Whether it also reads the store if its sources answer but cannot reach
+    /// the store, rather than only if no source answers.
+    bool reads_store_as_fallback = true;
+    /// Whether full reads also go to the sources, which keeps them off the
+    /// store: its link and its costs allow for a few readers, not for a
+    /// thousand.
+    bool full_reads_from_sources = false;
 };
 
-/// Two instances of a data centre follow the store, however large it is: each
-/// is one more customer of the store for every change. In larger data centres
-/// one instance for each dozen passes on what those two have, for a reader's
-/// link is narrow: with two readers for a hundred instances some had a new
-/// configuration after 2.3 s, with one for each dozen all within 0.32 s (300
-/// instances, 437 servers that leave at once). Where both are turned away,
-/// those stand in for them, and nobody else does.
-/// @param hosts of the data centre that stay, this one included.
-store_access store_access_of(
+/// Store access in a group without super-peers. Two instances of a data centre
+/// read the store, however large the data centre is, because every reader adds
+/// load to the store for each change. In larger data centres, one relay for
+/// every twelve instances passes on what these two have received, because a
+/// reader's link is narrow: with two readers for a hundred instances, some got
+/// a new configuration only after 2.3 s; with one relay for every twelve, all
+/// got it within 0.32 s (300 instances, 437 servers leaving at once). If both
+/// readers fail to reach the store, only the relays read it in their place.
+/// @param hosts of the data centre that are not about to stop, including this
+/// one.
+store_access flat_store_access(
     const std::string& own_host, const std::vector<std::string>& hosts);
 
-/// The same where there are super-peers: two of the data centre follow the
-/// store, its other super-peers ask these, and leaves ask super-peers.
+/// Store access in a group with super-peers: two super-peers of the data centre
+/// read the store, its other super-peers ask these two, and leaves ask
+/// super-peers.
 /// @param super_peers of the data centre.
-store_access store_access_among(
+store_access super_peer_store_access(
     const std::vector<std::string>& super_peers, group_role role);
 
-/// @return true if this instance looks after the phases of engines: the one
-/// with the first host of all that stay. The lease in the store decides where
-/// two believe it.
-bool looks_after_phases(
+/// @return true if this instance plans the phases of engines: its host is the
+/// smallest of all instances that are not about to stop. If two instances both
+/// conclude this, the lease in the store decides.
+bool is_phase_balancer(
     const std::string& own_host, const std::vector<std::string>& others);
 
-/// @return the host that looks after phases if it is to be told what requests
-/// here take: another one of the own data centre. Empty: nobody is.
-std::string reader_of_demand(
+/// @return the host that plans phases, if it is to be sent the demand observed
+/// here: it is another instance of the own data centre. Empty otherwise.
+std::string demand_report_target(
     const std::string& own_host, const std::vector<std::string>& others,
     const std::vector<std::string>& others_in_data_centre);
 
-/// @return hosts of instances that hear of all servers that have ended under
-/// requests, and say which requests are to blame (crash_evidence.hpp): all of a
-/// small group, three of a large one. @param hosts of all that stay, this one
-/// included where it may be one of them.
+/// @return hosts of the instances that receive all reports of servers that
+/// crashed while handling requests, and decide which requests caused the
+/// crashes (crash_evidence.hpp): all instances of a small group, three of a
+/// large one.
+/// @param hosts of all instances that are not about to stop, including this one
+/// if it is eligible.
 std::vector<std::string>
-judges_of_crashes(const std::vector<std::string>& hosts);
+crash_evaluators(const std::vector<std::string>& hosts);
 
 } // namespace mintknot::policy
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/phase_demand.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/phase_demand.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// How much engine time requests take in each phase, and how long their steps
-/// last on average.
+/// How much engine time requests take in each phase, and how long each step
+/// lasts on average.
 ///
-/// Fed by the exchanges of this instance, at the end of each step. Used by the
-/// forecast of room, the limit of a prefill and the plan of phases; for the
-/// last, instances of a large group add up what they have seen
+/// Updated by the exchanges of this instance at the end of each step. Used to
+/// forecast free decode memory, to limit the time of a prefill and to plan
+/// phases; for the last, instances of a large group sum up their observations
 /// (orders/demand_sharing.hpp).
 #ifndef MINTKNOT_POLICY_PHASE_DEMAND_HPP
 #define MINTKNOT_POLICY_PHASE_DEMAND_HPP
@@ -13,59 +13,65 @@
 
 namespace mintknot::policy {
 
-/// Sums over the requests of one service, weighed down with each new one.
+/// Exponentially decayed sums over the requests of one service.
 struct phase_demand {
-    double requests = 0.0;
-    /// The same, not weighed down; not shared with others.
-    double seen_here = 0.0;
-    double decode_seconds = 0.0; ///< Share of an engine's memory times time.
-    double hold_time = 0.0;      ///< For which they held that memory, in ms.
-    double starts = 0.0;         ///< Requests whose first event has come.
-    double start_time = 0.0;     ///< From their placement to that event, in ms.
-    double hand_overs = 0.0; ///< Results that a decode engine has taken over.
-    double hand_over_time = 0.0; ///< Until its first event, in ms.
-    // Sums for a line through prompt length and time to read it, from reads
-    // that waited for nothing. Its slope is what a token costs the engine;
-    // what every read takes besides does not keep the engine busy.
-    double reads = 0.0;
-    double tokens = 0.0;
-    double time = 0.0;
+    double requests = 0.0; ///< Finished decodes.
+    /// Finished decodes at this instance, without decay and not shared with
+    /// peers.
+    double local_requests = 0.0;
+    /// Sum of the share of an engine's memory times the time for which it was
+    /// held.
+    double decode_seconds = 0.0;
+    double total_hold_ms = 0.0; ///< For which requests held decode memory.
+    double first_events = 0.0;  ///< Requests that have had their first event.
+    double total_first_event_ms = 0.0; ///< From placement to the first event.
+    /// Prefill results that a decode engine has taken over.
+    double hand_overs = 0.0;
+    /// From the end of the prefill to the first event.
+    double total_hand_over_ms = 0.0;
+    // Sums for a linear regression of prefill time over prompt length, from
+    // prefills that did not queue. The slope is the engine time per token; the
+    // constant part of each prefill does not keep the engine busy.
+    double prefills = 0.0;
+    double prefill_tokens = 0.0;
+    double total_prefill_ms = 0.0;
     double tokens_squared = 0.0;
     double tokens_times_time = 0.0;
 };
 
-/// Adds what another instance has seen.
+/// Adds the sums of another instance.
 void add(phase_demand& sum, const phase_demand& other);
 
-/// Takes a read of a prompt that waited for no other.
-void note_read_alone(
+/// Records a prefill that did not queue behind another one.
+void note_uncontended_prefill(
     phase_demand& demand, double tokens, base::milliseconds took);
 
-/// Takes a finished decode. @param memory_share of the engine.
+/// Records a finished decode.
+/// @param memory_share of the engine that the request held.
 void note_decode(
     phase_demand& demand, double memory_share, base::milliseconds took);
 
-/// Takes the time from a request's placement to its first event.
-void note_start(phase_demand& demand, base::milliseconds took);
+/// Records the time from a request's placement to its first event.
+void note_first_event(phase_demand& demand, base::milliseconds took);
 
-/// Takes the time from the end of a prefill to the first event.
+/// Records the time from the end of a prefill to the first event.
 void note_hand_over(phase_demand& demand, base::milliseconds took);
 
-/// @return how long a request holds decode memory on average; a common figure
-/// until some requests have finished.
-base::milliseconds mean_hold(const phase_demand& demand);
+/// @return how long a request holds decode memory on average; a default until a
+/// few requests have finished.
+base::milliseconds mean_hold_time(const phase_demand& demand);
 
-/// @return the mean time from a placement to the first event; a common figure
-/// until some were seen.
-base::milliseconds mean_start(const phase_demand& demand);
+/// @return the mean time from placement to the first event; a default until a
+/// few were observed.
+base::milliseconds mean_first_event_time(const phase_demand& demand);
 
-/// @return the mean time from the end of a prefill to the first event; a common
-/// figure until some were seen.
-base::milliseconds mean_hand_over(const phase_demand& demand);
+/// @return the mean time from the end of a prefill to the first event; a
+/// default until a few were observed.
+base::milliseconds mean_hand_over_time(const phase_demand& demand);
 
-/// @return the engine time for reading a prompt of mean length, in seconds,
-/// or 0 if too little was seen.
-double prefill_seconds(const phase_demand& demand);
+/// @return the engine time of the prefill of a prompt of mean length, in
+/// seconds, or 0 if too few prefills were observed.
+double mean_prefill_seconds(const phase_demand& demand);
 
 } // namespace mintknot::policy
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/placement.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/placement.hpp
@@ -1,11 +1,12 @@
 /// @file
-/// Which servers one request goes to, chosen in one step.
+/// Placement: chooses all servers of a request in one step.
 ///
-/// Memory of a decode engine is reserved before a prompt is read: a kept result
-/// lapses within half a second, and prompts read for nothing were the largest
-/// price of a router that did not. The prefill engine is left out, and the
-/// decode engine reads the prompt itself, where it would miss what is left of
-/// the target (engine_needs.hpp). Asked here or by a scheduler (group.hpp).
+/// Decode memory is reserved before the prompt is read, because an engine drops
+/// a prefill result within half a second, and prompts that were read in vain
+/// were the largest cost of a router that did not reserve. No prefill engine is
+/// used, and the decode engine reads the prompt itself, if a prefill engine
+/// would miss what is left of the target (engine_needs.hpp). Runs in this
+/// instance or in a scheduler (group.hpp).
 #ifndef MINTKNOT_POLICY_PLACEMENT_HPP
 #define MINTKNOT_POLICY_PLACEMENT_HPP
 
@@ -16,53 +17,59 @@
 
 namespace mintknot::policy {
 
-/// What a request needs servers for.
+/// The kind of servers that a request needs.
 enum class placement_kind {
-    plain,             ///< A server of a plain service.
-    plain_with_room,   ///< The same, but only one with a free slot.
-    decode,            ///< A decode engine alone.
-    prefill_and_decode ///< An engine of each phase.
+    plain,                ///< A server of a plain service.
+    plain_with_free_slot, ///< The same, but only one with a free slot.
+    decode,               ///< A decode engine alone.
+    prefill_and_decode    ///< An engine of each phase.
 };
 
-/// What a request needs, and where it must not go.
+/// The requirements of a request, and the servers that it must not use.
 struct placement_query {
     std::string service;
-    std::string data_centre; ///< Of the instance that has the request.
+    std::string data_centre; ///< Of the instance that handles the request.
     placement_kind kind = placement_kind::plain;
     double prompt_tokens = 0.0;
-    double memory_tokens = 0.0; ///< Of the decode engine.
-    /// A prefill engine that needs longer is not worth waiting for.
-    base::milliseconds read_limit{0};
-    /// Whether a server that is ruled out is taken where there is no other.
-    bool may_return = false;
+    double memory_tokens = 0.0; ///< To reserve on the decode engine.
+    /// No prefill engine is used if the prefill would take longer.
+    base::milliseconds max_prefill_time{0};
+    /// Whether an excluded server may be used if there is no other.
+    bool may_reuse_excluded = false;
     excluded_servers excluded;         ///< Plain servers or decode engines.
     excluded_servers excluded_prefill; ///< Prefill engines.
-    /// Some servers to which the instance has idle connections.
+    /// Some of the servers to which the instance has idle connections.
     std::set<std::string> connected;
 };
 
-/// Where a request goes.
+/// The servers chosen for a request.
 struct placement {
-    std::string server;        ///< Plain or decode; empty: there is no room.
-    std::string prefill;       ///< Empty: the decode engine reads the prompt.
-    double tokens_ahead = 0.0; ///< That the prefill engine reads before.
-    room_summary room; ///< Where a decode engine had no room: what was seen.
-    std::string by;    ///< Host of the scheduler that has chosen; empty: here.
+    std::string server;  ///< Plain or decode; empty: none is free.
+    std::string prefill; ///< Empty: the decode engine reads the prompt.
+    /// Queued at the prefill engine before this prompt.
+    double tokens_ahead = 0.0;
+    /// State of the decode engines if none was free.
+    capacity_summary capacity;
+    /// Scheduler that placed the request; empty: this instance.
+    std::string scheduler_host;
 };
 
-/// @return the servers for a request. Pure: no load is added.
-placement choose(const selection_inputs& inputs, const placement_query& query);
+/// @return the servers for a request. Changes no state: loads are not updated.
+placement
+choose_servers(const selection_inputs& inputs, const placement_query& query);
 
-/// Rules out what this instance avoids, for a query that goes to a scheduler:
-/// the way from here to a server may be broken where the scheduler's is not. If
-/// it is most of them, or dozens, the fault is here, and nothing is ruled out.
+/// Excludes the servers that this instance avoids from a query that goes to a
+/// scheduler: the path from here to a server may be broken while that of the
+/// scheduler is not. If these are more than half of the servers, or more than
+/// 32, the fault is likely on this side, and nothing is excluded.
 void exclude_avoided(
     placement_query& query, const traffic::server_table& servers,
     const health_view& health, base::steady_time now);
 
-/// Rules out servers that have told this instance that they leave or rest, for
-/// a query that goes to a scheduler, which may not know it: whatever the others
-/// are like, these are not returned to.
+/// Excludes servers that have told this instance that they are leaving or must
+/// rest (a backoff that the server asks for, server_rest.hpp) from a query that
+/// goes to a scheduler, which may not know it. Such servers are not used even
+/// if there is no other.
 void exclude_unavailable(
     placement_query& query, const traffic::server_table& servers,
     const health_view& health, base::steady_time now);
@@ -74,7 +81,7 @@
     limit_view& limits, const traffic::server_table& servers,
     const std::string& service, const placement& placed, base::steady_time now);
 
-/// @return the load of a placed request, as it is until its prompt is read.
+/// @return the load that a placed request adds until its prompt has been read.
 traffic::load_map
 placed_loads(const placement& placed, const placement_query& query);
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/queue_order.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/queue_order.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// In which order requests that wait get room.
+/// The order of requests in the wait queue.
 #ifndef MINTKNOT_POLICY_QUEUE_ORDER_HPP
 #define MINTKNOT_POLICY_QUEUE_ORDER_HPP
 
@@ -9,23 +9,24 @@
 
 namespace mintknot::policy {
 
-/// Who goes first: whoever can still meet its target, then the more urgent
-/// route, then the earlier arrival. Switched off, worth did not change beyond
-/// chance (0.007 or less); it is what carries the priorities of routes.
+/// Rank of a waiting request; the lowest goes first. Requests that can still
+/// meet their target go first, then those of a route with higher priority, then
+/// earlier arrivals. Without this order the score did not change beyond chance
+/// (0.007 or less), but it is what implements route priorities.
 struct queue_rank {
-    bool late = false; ///< An answer in time is no longer expected.
+    bool late = false; ///< The target latency can no longer be met.
     int priority = 0;  ///< Of the route, 0 is the highest.
     base::steady_time arrived{};
 
     auto operator<=>(const queue_rank&) const = default;
 };
 
-/// Of the tokens that requests at other instances wait for, the part that is
-/// expected to be given out before those of a request here: as many have come
-/// before it as after it. Left out, requests that were refused in the end were
-/// held for 1.0 to 2.7 ms longer on average (ten plays or more each on three
-/// deployments).
-inline constexpr double elsewhere_share_ahead = 0.5;
+/// Share of the tokens awaited by requests of other instances that is assumed
+/// to be granted before a request of this one: as many of them arrived before
+/// it as after it. Without this, requests that were refused in the end were
+/// held for 1.0 to 2.7 ms longer on average (ten simulated runs or more each on
+/// three deployments).
+inline constexpr double peer_share_ahead = 0.5;
 
 } // namespace mintknot::policy
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/selection.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/selection.hpp
@@ -1,19 +1,20 @@
 /// @file
-/// Which backend server gets a request.
+/// Selection of a backend server for a request.
 ///
-/// Inputs: rows of servers (as old as the last watch of the store), loads (own
-/// exact, peers' some 60 ms old; a scheduler's exact), health, read rates. Each
-/// choice scores all servers that take requests and takes the lowest score: for
-/// plain servers the calls in flight for each slot, for prefill engines the
-/// time until the prompt is read, for decode engines the share of memory that
-/// is held afterwards or, where all are nearly full, the share that is left;
-/// other data centres, failures and a random part add to it. Log events:
-/// `sent`, `prefill`, `decode`; `no_room` where there is none.
+/// Inputs: the server table (as recent as the last watch of the store), loads
+/// (own ones exact, those of peers about 60 ms old; exact at a scheduler),
+/// health, prefill rates. Each selection scores all servers that accept
+/// requests and takes the lowest score: for plain servers the calls in flight
+/// per slot, for prefill engines the time until the prompt is read, for decode
+/// engines the share of memory that is held afterwards or, if all are nearly
+/// full, the share that is left. Another data centre, failures and a random
+/// part add to the score. Log events: `sent`, `prefill`, `decode`; `no_room` if
+/// no engine has enough memory.
 #ifndef MINTKNOT_POLICY_SELECTION_HPP
 #define MINTKNOT_POLICY_SELECTION_HPP
 
-#include <mintknot/policy/read_rates.hpp>
-#include <mintknot/policy/room_forecast.hpp>
+#include <mintknot/policy/capacity_forecast.hpp>
+#include <mintknot/policy/prefill_rates.hpp>
 #include <mintknot/policy/server_health.hpp>
 #include <mintknot/traffic/configuration.hpp>
 #include <mintknot/traffic/load_view.hpp>
@@ -25,64 +26,68 @@
 
 namespace mintknot::policy {
 
-/// Everything that a choice looks at. References must outlive the call.
+/// All inputs of a selection. The references must outlive the call.
 struct selection_inputs {
     const traffic::server_table& servers;
     const traffic::load_view& loads;
     const health_view& health;
-    const read_rates& rates;
-    const traffic::service& target;
-    std::string own_data_centre; ///< Of the instance that has the request.
-    std::size_t instances = 1;   ///< How many share a server's connections.
+    const prefill_rates& rates;
+    const traffic::service& service;
+    std::string own_data_centre; ///< Of the instance that handles the request.
+    /// Instances that share the connections to a server.
+    std::size_t instances = 1;
     base::steady_time now;
-    std::function<double()> draw;   ///< Uniform in [0, 1).
-    std::string only_data_centre{}; ///< Empty: servers everywhere.
-    /// How long a request holds decode memory on average.
-    base::milliseconds mean_hold{0};
-    /// Whether loads are exact, so that all servers may be compared.
+    std::function<double()> draw_uniform; ///< Uniform in [0, 1).
+    std::string only_data_centre{}; ///< Empty: servers of all data centres.
+    /// Mean time for which a request holds decode memory.
+    base::milliseconds mean_hold_time{0};
+    /// Whether loads are exact. If so, all servers are compared, rather than a
+    /// random sample.
     bool all_loads_known = false;
-    /// Servers to which the instance has idle connections; null: not known.
+    /// Servers to which the instance has idle connections; null: unknown.
     const std::set<std::string>* connected = nullptr;
 };
 
-/// Servers that a request has been to, or that are ruled out otherwise.
+/// Servers that a request has already used or must not use.
 using excluded_servers = std::set<std::string>;
 
-/// @return a server of a plain service, or null if none takes requests.
+/// @return a server of a plain service, or null if none accepts requests.
 const traffic::server*
 select_plain(const selection_inputs& inputs, const excluded_servers& excluded);
 
-/// @return the prefill engine that would be done first, or null.
+/// @return the prefill engine that would finish the prompt first, or null.
 const traffic::server* select_prefill(
     const selection_inputs& inputs, const excluded_servers& excluded,
     double prompt_tokens);
 
-/// What a request needs of a decode engine.
+/// What a request requires of a decode engine.
 struct decode_request {
     double memory_tokens = 0.0;
-    double memory_share = 1.0; ///< Part of an engine's memory to give out.
+    double memory_share = 1.0; ///< Usable part of an engine's memory.
     std::string data_centre;   ///< Of the prefill engine, or empty.
 };
 
-/// @return the emptiest decode engine or, where all are nearly full, the
-/// fullest one that has room for the request; null if none has.
+/// @return the decode engine with the most free memory or, if all are nearly
+/// full, the fullest one that can still take the request; null if none can.
 const traffic::server* select_decode(
     const selection_inputs& inputs, const excluded_servers& excluded,
     const decode_request& wanted);
 
-/// What a choice of a decode engine saw where none had room.
-struct room_summary {
-    int engines = 0;        ///< That decode and take requests.
-    int avoided = 0;        ///< Of them.
-    double max_room = 0.0;  ///< Free tokens of the emptiest other one.
-    room_forecast forecast; ///< Over all of them.
+/// State of the decode engines when none could take a request.
+struct capacity_summary {
+    int engines = 0; ///< Decode engines that accept requests.
+    int avoided = 0; ///< Of them, those that are avoided.
+    /// Most free tokens of any engine that is not avoided.
+    double max_free_tokens = 0.0;
+    capacity_forecast forecast; ///< Over all of them.
 };
 
-room_summary
-summarize_room(const selection_inputs& inputs, const decode_request& wanted);
+capacity_summary summarize_capacity(
+    const selection_inputs& inputs, const decode_request& wanted);
 
-/// @return how long a prefill engine needs until it has read a prompt.
-base::milliseconds expected_read_time(
+/// @return the expected time until a prefill engine has read a prompt,
+/// including its queue.
+base::milliseconds expected_prefill_time(
     const selection_inputs& inputs, const traffic::server& engine,
     double prompt_tokens);
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/timeouts.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/timeouts.hpp
@@ -1,9 +1,10 @@
 /// @file
-/// How long a silent server is waited for.
+/// How long to wait for a server that sends nothing.
 ///
-/// Beside these, one timer a request ends it at the smaller of the route's
+/// In addition, one timer per request ends it at the smaller of the route's
 /// timeout and the caller's deadline (relay/exchange.hpp), and a connection
-/// that does not come up ends after upstream::call_options::connect_timeout.
+/// that cannot be established is given up after
+/// upstream::call_options::connect_timeout.
 #ifndef MINTKNOT_POLICY_TIMEOUTS_HPP
 #define MINTKNOT_POLICY_TIMEOUTS_HPP
 
@@ -12,28 +13,31 @@
 
 namespace mintknot::policy {
 
-/// @return the silence after which a prefill engine is left and the prompt is
-/// read elsewhere. Log event: `prefill_again` with reason `prefill_silent`.
-/// Switched off, worth fell by 0.004, 0.007 and 0.013 (ten plays or more each
-/// on three deployments; chance is about 0.01).
-/// @param expected time for the read, from what the engine was seen to read.
+/// @return the time without data after which a prefill engine is given up and
+/// the prompt is read by another one. Log event: `prefill_again` with reason
+/// `prefill_silent`. Without this timeout the score fell by 0.004, 0.007 and
+/// 0.013 (ten simulated runs or more each on three deployments; chance is about
+/// 0.01).
+/// @param expected prefill time, from the observed rate of the engine.
 base::milliseconds prefill_timeout(base::milliseconds expected);
 
-/// @return the silence after which a decode engine is doubted, and a resumable
-/// stream goes on elsewhere. Log event: `resumed` with reason `decode_silent`.
-/// Switched off, worth did not change beyond chance; without it a stream at an
-/// engine that goes dark ends only with its deadline.
+/// @return the time without data after which a decode engine is considered
+/// failed, and a resumable stream continues on another one. Log event:
+/// `resumed` with reason `decode_silent`. Without this timeout the score did
+/// not change beyond chance, but a stream on an engine that stops sending ends
+/// only with its deadline.
 /// @param any_event whether the stream has had its first event.
 base::milliseconds event_timeout(bool any_event);
 
-/// @return the silence after which a plain server is doubted, and a repeatable
-/// request is sent elsewhere: some target latencies, but early enough that it
-/// can still be answered there.
+/// @return the time without data after which a plain server is considered
+/// failed, and a repeatable request is sent to another one: a few target
+/// latencies, but early enough that the other one can still answer.
 base::milliseconds plain_timeout(const traffic::route& route);
 
-/// @return how long a kept prefill result may be handed over, from the end of
-/// the prefill. @param life for which the engine keeps it.
-base::milliseconds usable_life(base::milliseconds life);
+/// @return how long after the end of a prefill its result may still be handed
+/// over to a decode engine.
+/// @param lifetime how long the prefill engine keeps the result.
+base::milliseconds hand_over_window(base::milliseconds lifetime);
 
 } // namespace mintknot::policy
 
--- a/libs/mintknotd-platform/policy/src/admission.cpp
+++ b/libs/mintknotd-platform/policy/src/admission.cpp
@@ -6,37 +6,37 @@
 
 namespace {
 
-/// How long a deadline counts as the longest one: some times the longest that
-/// callers name.
-constexpr base::milliseconds deadline_life{30000};
-/// A caller that was refused comes back with so much less time at least: the
-/// shortest time that a refusal tells, less a margin for callers that hurry.
+/// How long a deadline counts as the longest one: a few times the longest
+/// deadline that callers use.
+constexpr base::milliseconds deadline_lifetime{30000};
+/// A caller that was refused comes back with at least this much less time: the
+/// shortest Retry-After, less a margin for callers that come back early.
 constexpr base::milliseconds min_time_spent{200};
 
-/// See first_event_patience().
-constexpr base::milliseconds min_patience{2000};
-constexpr int targets_of_patience = 4;
-constexpr int gaps_of_patience = 8;
+/// See caller_first_event_timeout().
+constexpr base::milliseconds min_caller_timeout{2000};
+constexpr int targets_per_caller_timeout = 4;
+constexpr int gaps_per_caller_timeout = 8;
 
 } // namespace
 
-base::milliseconds
-first_event_patience(base::milliseconds target, base::milliseconds target_gap) {
+base::milliseconds caller_first_event_timeout(
+    base::milliseconds target, base::milliseconds target_gap) {
     return std::max(
-        {min_patience, target * targets_of_patience,
-         target_gap * gaps_of_patience});
+        {min_caller_timeout, target * targets_per_caller_timeout,
+         target_gap * gaps_per_caller_timeout});
 }
 
 void note_deadline(
     longest_deadline& longest, base::milliseconds deadline,
     base::steady_time now) {
-    if (deadline < longest.value && now - longest.seen < deadline_life)
+    if (deadline < longest.value && now - longest.seen < deadline_lifetime)
         return;
     longest.value = deadline;
     longest.seen = now;
 }
 
-bool has_returned(
+bool was_refused_before(
     const longest_deadline& longest,
     std::optional<base::milliseconds> deadline) {
     return deadline && *deadline + min_time_spent < longest.value;
--- a/libs/mintknotd-platform/policy/src/room_forecast.cpp
+++ b/libs/mintknotd-platform/policy/src/capacity_forecast.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/policy/room_forecast.hpp>
+#include <mintknot/policy/capacity_forecast.hpp>
 
 #include <algorithm>
 #include <cstdint>
@@ -11,7 +11,7 @@
     return base::milliseconds(static_cast<std::int64_t>(tokens / rate));
 }
 
-/// @return how long one engine needs, or nothing if it never has the room.
+/// @return the wait at one engine; nothing if it can never take the request.
 std::optional<base::milliseconds>
 wait_at(const engine_memory& engine, double needed, double rate) {
     const double missing = needed - engine.free;
@@ -24,12 +24,12 @@
 
 } // namespace
 
-room_forecast forecast_room(
+capacity_forecast forecast_capacity(
     const std::vector<engine_memory>& engines, double needed,
-    base::milliseconds mean_hold) {
-    const auto hold =
-        static_cast<double>(std::max(mean_hold, base::milliseconds{1}).count());
-    room_forecast forecast;
+    base::milliseconds mean_hold_time) {
+    const auto hold = static_cast<double>(
+        std::max(mean_hold_time, base::milliseconds{1}).count());
+    capacity_forecast forecast;
     for (const engine_memory& engine : engines) {
         const double rate = engine.held / hold;
         forecast.release_rate += rate;
@@ -40,8 +40,9 @@
     return forecast;
 }
 
-room_forecast joined(const room_forecast& left, const room_forecast& right) {
-    room_forecast both = left;
+capacity_forecast
+merge_forecasts(const capacity_forecast& left, const capacity_forecast& right) {
+    capacity_forecast both = left;
     both.release_rate += right.release_rate;
     if (right.wait && (!both.wait || *right.wait < *both.wait))
         both.wait = right.wait;
@@ -49,7 +50,7 @@
 }
 
 std::optional<base::milliseconds>
-wait_behind(const room_forecast& forecast, double tokens_ahead) {
+wait_behind(const capacity_forecast& forecast, double tokens_ahead) {
     if (!forecast.wait || tokens_ahead <= 0.0)
         return forecast.wait;
     if (forecast.release_rate <= 0.0)
--- a/libs/mintknotd-platform/policy/src/domain.cpp
+++ b/libs/mintknotd-platform/policy/src/domain.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-/// An instance that holds no rows does not know how many servers there are; who
-/// places for it does.
+/// An instance without a server table does not know how many servers there are,
+/// but the instance that places requests for it does.
 bool is_split(
     const traffic::server_table& servers, const std::string& service) {
     return servers.partial ||
            traffic::open_servers(servers, service).size() > max_unsplit_servers;
 }
 
-std::string job_of(const domain& which) {
+std::string rendezvous_key(const domain& which) {
     return which.service + "/" + which.data_centre;
 }
 
@@ -53,13 +53,13 @@
 
 std::string
 scheduler_of(const domain& which, const std::vector<std::string>& hosts) {
-    return base::rendezvous(job_of(which), hosts);
+    return base::rendezvous(rendezvous_key(which), hosts);
 }
 
 domain_schedulers
 schedulers_of(const domain& which, const std::vector<std::string>& hosts) {
     std::vector<std::string> first =
-        base::rendezvous_first(job_of(which), hosts, 2);
+        base::rendezvous_first(rendezvous_key(which), hosts, 2);
     first.resize(2);
     return {std::move(first[0]), std::move(first[1])};
 }
--- a/libs/mintknotd-platform/policy/src/drain.cpp
+++ b/libs/mintknotd-platform/policy/src/drain.cpp
@@ -6,15 +6,17 @@
 
 namespace {
 
-/// How long new connections may still arrive: the balancer asks once a second
-/// and believes the second refusal. Derived, with 0.6 s for the answers.
-constexpr base::milliseconds arrivals{2600};
-/// Idle connections stay open until the balancer has asked once more: a caller
-/// that is about to use one is not to meet a closed one. Derived.
-constexpr base::milliseconds before_close_idle{1300};
-/// Kept free at the end of the grace, for the last bytes and the process's end.
-constexpr base::milliseconds margin{400};
-/// What a plain request is given at most.
+/// How long new connections may still arrive: the load balancer checks
+/// readiness once a second and reacts to the second failure; 0.6 s allow for
+/// its checks to be answered.
+constexpr base::milliseconds arrival_window{2600};
+/// Idle connections stay open until the load balancer has checked readiness
+/// once more, so that a caller does not use a connection that is being closed.
+constexpr base::milliseconds close_idle_delay{1300};
+/// Reserved at the end of the grace period for sending the last bytes and
+/// exiting.
+constexpr base::milliseconds exit_margin{400};
+/// Longest time that is allowed for a plain request.
 constexpr base::milliseconds max_plain_time{1500};
 
 } // namespace
@@ -22,23 +24,23 @@
 drain_step next_drain_step(
     base::milliseconds since, base::milliseconds grace, std::size_t busy) {
     const base::milliseconds last =
-        std::max(base::milliseconds{0}, grace - margin);
+        std::max(base::milliseconds{0}, grace - exit_margin);
     if (since >= last)
-        return drain_step::leave;
-    if (since >= std::min(arrivals, last / 2) && busy == 0)
-        return drain_step::leave;
-    if (since >= std::min(before_close_idle, last / 4))
+        return drain_step::terminate;
+    if (since >= std::min(arrival_window, last / 2) && busy == 0)
+        return drain_step::terminate;
+    if (since >= std::min(close_idle_delay, last / 4))
         return drain_step::close_idle;
     return drain_step::serve;
 }
 
-bool may_begin(
+bool may_start_while_draining(
     const traffic::route& route, base::milliseconds since,
     base::milliseconds grace) {
     if (route.kind == traffic::route_kind::streaming)
-        return since < std::min(arrivals, grace / 3);
+        return since < std::min(arrival_window, grace / 3);
     const base::milliseconds needed = std::min(route.timeout, max_plain_time);
-    return since + needed < grace - margin;
+    return since + needed < grace - exit_margin;
 }
 
 } // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/src/entry_check.cpp
+++ b/libs/mintknotd-platform/policy/src/entry_check.cpp
@@ -1,7 +1,7 @@
 #include <mintknot/policy/entry_check.hpp>
 
 #include <mintknot/policy/drain.hpp>
-#include <mintknot/policy/return_time.hpp>
+#include <mintknot/policy/retry_after.hpp>
 
 namespace mintknot::policy {
 
@@ -15,7 +15,7 @@
     entry_decision refused;
     refused.status = status_unavailable;
     refused.reason = reason;
-    refused.retry_after = return_after_entry_refusal;
+    refused.retry_after = entry_refusal_retry_after;
     return refused;
 }
 
@@ -46,7 +46,8 @@
     if (let_in.what == access_verdict::unknown_key)
         return refuse_for_good(status_unauthorized, "unknown_key");
     if (conditions.stopping &&
-        !may_begin(*route, conditions.since_stop, conditions.grace))
+        !may_start_while_draining(
+            *route, conditions.since_stop, conditions.grace))
         return refuse_for_now("stopping");
     if (conditions.open_body_bytes > conditions.max_body_bytes)
         return refuse_for_now("memory_full");
--- a/libs/mintknotd-platform/policy/src/group.cpp
+++ b/libs/mintknotd-platform/policy/src/group.cpp
@@ -9,39 +9,40 @@
 
 namespace {
 
-/// Instances that are assumed until more have been heard. A little above the
-/// groups that were known.
+/// Instances that are assumed until more are known: slightly above the size of
+/// common groups.
 constexpr std::size_t min_instances = 10;
-/// Of each data centre, at the store: one may be cut off from it.
-constexpr std::size_t store_readers = 2;
-/// What an instance sends grows with those that follow it; see
-/// store_access_of().
+/// Instances of each data centre that read the store: one may be cut off from
+/// it.
+constexpr std::size_t store_reader_count = 2;
+/// The traffic of a relay grows with the instances that follow it; see
+/// flat_store_access().
 constexpr std::size_t followers_per_relay = 12;
-constexpr std::string_view store_reader_job = "store-reader";
-/// One may be about to stop and one be cut off.
-constexpr std::size_t crash_judges = 3;
-constexpr std::string_view crash_judge_job = "crash-judge";
+constexpr std::string_view store_reader_key = "store-reader";
+/// One may be about to stop and one may be cut off.
+constexpr std::size_t crash_evaluator_count = 3;
+constexpr std::string_view crash_evaluator_key = "crash-judge";
 
 } // namespace
 
-bool is_large(std::size_t instances) {
+bool is_large_group(std::size_t instances) {
     return instances > max_small_group;
 }
 
-std::size_t assumed_instances(std::size_t heard_at_once) {
-    return std::max(min_instances, heard_at_once);
+std::size_t assumed_instances(std::size_t live_at_once) {
+    return std::max(min_instances, live_at_once);
 }
 
-store_access store_access_of(
+store_access flat_store_access(
     const std::string& own_host, const std::vector<std::string>& hosts) {
     const std::size_t dozens = hosts.size() / followers_per_relay;
-    const std::size_t relays = dozens > store_readers ? dozens : 0;
-    const std::vector<std::string> chosen =
-        base::rendezvous_first(store_reader_job, hosts, store_readers + relays);
+    const std::size_t relays = dozens > store_reader_count ? dozens : 0;
+    const std::vector<std::string> chosen = base::rendezvous_first(
+        store_reader_key, hosts, store_reader_count + relays);
     const auto own = std::find(chosen.begin(), chosen.end(), own_host);
     const auto first_relay =
-        chosen.begin() +
-        static_cast<std::ptrdiff_t>(std::min(store_readers, chosen.size()));
+        chosen.begin() + static_cast<std::ptrdiff_t>(
+                             std::min(store_reader_count, chosen.size()));
     if (own < first_relay)
         return {{own_host}, true};
     if (own != chosen.end() || first_relay == chosen.end())
@@ -49,30 +50,31 @@
     return {{first_relay, chosen.end()}, false};
 }
 
-store_access store_access_among(
+store_access super_peer_store_access(
     const std::vector<std::string>& super_peers, group_role role) {
     std::vector<std::string> sources = super_peers;
     if (role == group_role::super_peer)
         sources = base::rendezvous_first(
-            store_reader_job, super_peers, store_readers);
+            store_reader_key, super_peers, store_reader_count);
     return {std::move(sources), role == group_role::super_peer, true};
 }
 
 std::vector<std::string>
-judges_of_crashes(const std::vector<std::string>& hosts) {
-    if (!is_large(hosts.size()))
+crash_evaluators(const std::vector<std::string>& hosts) {
+    if (!is_large_group(hosts.size()))
         return hosts;
-    return base::rendezvous_first(crash_judge_job, hosts, crash_judges);
+    return base::rendezvous_first(
+        crash_evaluator_key, hosts, crash_evaluator_count);
 }
 
-bool looks_after_phases(
+bool is_phase_balancer(
     const std::string& own_host, const std::vector<std::string>& others) {
     return std::none_of(
         others.begin(), others.end(),
         [&](const std::string& host) { return host < own_host; });
 }
 
-std::string reader_of_demand(
+std::string demand_report_target(
     const std::string& own_host, const std::vector<std::string>& others,
     const std::vector<std::string>& others_in_data_centre) {
     const auto first = std::min_element(others.begin(), others.end());
--- a/libs/mintknotd-platform/policy/src/phase_demand.cpp
+++ b/libs/mintknotd-platform/policy/src/phase_demand.cpp
@@ -8,55 +8,56 @@
 
 namespace {
 
-/// Weight of what was known before, for each new observation: the last hundred
-/// requests count.
-constexpr double memory = 0.99;
-/// Reads without a queue from which on a line is fitted.
-constexpr double min_reads = 8.0;
-/// Least part of a read's time that keeps the engine busy: a line through few
-/// points may come out flat.
+/// Decay of the sums for each new observation: about the last hundred requests
+/// count.
+constexpr double decay_factor = 0.99;
+/// Prefills that must have been observed before a line is fitted.
+constexpr double min_prefills = 8.0;
+/// Smallest share of the time of a prefill that counts as engine time: a line
+/// through few points may come out flat.
 constexpr double min_slope_share = 0.5;
-/// Weight of a read that took longer than the line says: others may have come
-/// to the engine while it was under way, and what they take is counted as their
-/// own. Plain least squares put the cost of a prompt of 94 ms at 141 to 157 ms,
-/// so that 18 of 60 engines read where 13 were wanted.
-constexpr double slow_read_weight = 0.15;
+/// Weight of a prefill that took longer than the line predicts. Other prompts
+/// may have reached the engine while it was running, and their time is already
+/// counted as their own. Plain least squares estimated the cost of a prompt of
+/// 94 ms at 141 to 157 ms, so that 18 of 60 engines ran the prefill phase where
+/// 13 were needed.
+constexpr double slow_prefill_weight = 0.15;
 constexpr double milliseconds_per_second = 1000.0;
-/// What is assumed of a service until requests of it were seen: 500 tokens out
-/// at 6 ms each, a prompt of 3,000 tokens read at 20 a millisecond, and some
-/// steps of a decode engine. Each counts for as much as this many requests.
-/// Figures of the three deployments that were known.
+/// Assumed demand of a service until requests of it were observed: 500 output
+/// tokens at 6 ms each, a prompt of 3,000 tokens read at 20 tokens per
+/// millisecond, and a few steps of a decode engine, as in three known
+/// deployments. Each default counts as much as assumed_requests observations.
 constexpr double assumed_hold_ms = 3000.0;
-constexpr double assumed_start_ms = 150.0;
+constexpr double assumed_first_event_ms = 150.0;
 constexpr double assumed_hand_over_ms = 60.0;
 constexpr double assumed_requests = 3.0;
 
-/// The line through prompt length and time to read it.
-struct read_line {
+/// Regression line of prefill time over prompt length.
+struct prefill_line {
     double mean_tokens = 0.0;
     double mean_time = 0.0; ///< In ms.
-    double slope = 0.0;     ///< In ms a token.
+    double slope = 0.0;     ///< In ms per token.
 };
 
-/// Precondition: there have been reads.
-read_line line_of(const phase_demand& demand) {
-    read_line line;
-    line.mean_tokens = demand.tokens / demand.reads;
-    line.mean_time = demand.time / demand.reads;
-    const double spread = demand.tokens_squared / demand.reads -
-                          line.mean_tokens * line.mean_tokens;
-    const double together = demand.tokens_times_time / demand.reads -
-                            line.mean_tokens * line.mean_time;
-    line.slope = spread > 1.0 ? together / spread : 0.0;
+/// Precondition: demand.prefills > 0.
+prefill_line fit_line(const phase_demand& demand) {
+    prefill_line line;
+    line.mean_tokens = demand.prefill_tokens / demand.prefills;
+    line.mean_time = demand.total_prefill_ms / demand.prefills;
+    const double variance = demand.tokens_squared / demand.prefills -
+                            line.mean_tokens * line.mean_tokens;
+    const double covariance = demand.tokens_times_time / demand.prefills -
+                              line.mean_tokens * line.mean_time;
+    line.slope = variance > 1.0 ? covariance / variance : 0.0;
     return line;
 }
 
-/// @return how long a read is expected to take, in ms; any time until some
-/// were seen.
-double expected_time(const phase_demand& demand, double tokens) {
-    if (demand.reads < min_reads)
+/// @return how long a prefill is expected to take, in ms; the maximum until
+/// enough were observed.
+double expected_prefill_ms(const phase_demand& demand, double tokens) {
+    if (demand.prefills < min_prefills)
         return std::numeric_limits<double>::max();
-    const read_line line = line_of(demand);
+    const prefill_line line = fit_line(demand);
     return line.mean_time + line.slope * (tokens - line.mean_tokens);
 }
 
@@ -71,74 +72,77 @@
 void add(phase_demand& sum, const phase_demand& other) {
     sum.requests += other.requests;
     sum.decode_seconds += other.decode_seconds;
-    sum.hold_time += other.hold_time;
-    sum.starts += other.starts;
-    sum.start_time += other.start_time;
+    sum.total_hold_ms += other.total_hold_ms;
+    sum.first_events += other.first_events;
+    sum.total_first_event_ms += other.total_first_event_ms;
     sum.hand_overs += other.hand_overs;
-    sum.hand_over_time += other.hand_over_time;
-    sum.reads += other.reads;
-    sum.tokens += other.tokens;
-    sum.time += other.time;
+    sum.total_hand_over_ms += other.total_hand_over_ms;
+    sum.prefills += other.prefills;
+    sum.prefill_tokens += other.prefill_tokens;
+    sum.total_prefill_ms += other.total_prefill_ms;
     sum.tokens_squared += other.tokens_squared;
     sum.tokens_times_time += other.tokens_times_time;
 }
 
-void note_read_alone(
+void note_uncontended_prefill(
     phase_demand& demand, double tokens, base::milliseconds took) {
     const auto time = static_cast<double>(took.count());
     const double weight =
-        time > expected_time(demand, tokens) ? slow_read_weight : 1.0;
-    demand.reads = demand.reads * memory + weight;
-    demand.tokens = demand.tokens * memory + tokens * weight;
-    demand.time = demand.time * memory + time * weight;
+        time > expected_prefill_ms(demand, tokens) ? slow_prefill_weight : 1.0;
+    demand.prefills = demand.prefills * decay_factor + weight;
+    demand.prefill_tokens =
+        demand.prefill_tokens * decay_factor + tokens * weight;
+    demand.total_prefill_ms =
+        demand.total_prefill_ms * decay_factor + time * weight;
     demand.tokens_squared =
-        demand.tokens_squared * memory + tokens * tokens * weight;
+        demand.tokens_squared * decay_factor + tokens * tokens * weight;
     demand.tokens_times_time =
-        demand.tokens_times_time * memory + tokens * time * weight;
+        demand.tokens_times_time * decay_factor + tokens * time * weight;
 }
 
 void note_decode(
     phase_demand& demand, double memory_share, base::milliseconds took) {
-    demand.requests = demand.requests * memory + 1.0;
-    demand.seen_here += 1.0;
+    demand.requests = demand.requests * decay_factor + 1.0;
+    demand.local_requests += 1.0;
     demand.decode_seconds =
-        demand.decode_seconds * memory +
+        demand.decode_seconds * decay_factor +
         memory_share * std::chrono::duration<double>(took).count();
-    demand.hold_time =
-        demand.hold_time * memory + static_cast<double>(took.count());
+    demand.total_hold_ms =
+        demand.total_hold_ms * decay_factor + static_cast<double>(took.count());
 }
 
-void note_start(phase_demand& demand, base::milliseconds took) {
-    demand.starts = demand.starts * memory + 1.0;
-    demand.start_time =
-        demand.start_time * memory + static_cast<double>(took.count());
+void note_first_event(phase_demand& demand, base::milliseconds took) {
+    demand.first_events = demand.first_events * decay_factor + 1.0;
+    demand.total_first_event_ms = demand.total_first_event_ms * decay_factor +
+                                  static_cast<double>(took.count());
 }
 
 void note_hand_over(phase_demand& demand, base::milliseconds took) {
-    demand.hand_overs = demand.hand_overs * memory + 1.0;
-    demand.hand_over_time =
-        demand.hand_over_time * memory + static_cast<double>(took.count());
+    demand.hand_overs = demand.hand_overs * decay_factor + 1.0;
+    demand.total_hand_over_ms = demand.total_hand_over_ms * decay_factor +
+                                static_cast<double>(took.count());
 }
 
-base::milliseconds mean_hand_over(const phase_demand& demand) {
+base::milliseconds mean_hand_over_time(const phase_demand& demand) {
     return mean_with_assumed(
-        demand.hand_over_time, demand.hand_overs, assumed_hand_over_ms);
+        demand.total_hand_over_ms, demand.hand_overs, assumed_hand_over_ms);
 }
 
-base::milliseconds mean_hold(const phase_demand& demand) {
+base::milliseconds mean_hold_time(const phase_demand& demand) {
     return mean_with_assumed(
-        demand.hold_time, demand.requests, assumed_hold_ms);
+        demand.total_hold_ms, demand.requests, assumed_hold_ms);
 }
 
-base::milliseconds mean_start(const phase_demand& demand) {
+base::milliseconds mean_first_event_time(const phase_demand& demand) {
     return mean_with_assumed(
-        demand.start_time, demand.starts, assumed_start_ms);
+        demand.total_first_event_ms, demand.first_events,
+        assumed_first_event_ms);
 }
 
-double prefill_seconds(const phase_demand& demand) {
-    if (demand.reads < min_reads)
+double mean_prefill_seconds(const phase_demand& demand) {
+    if (demand.prefills < min_prefills)
         return 0.0;
-    const read_line line = line_of(demand);
+    const prefill_line line = fit_line(demand);
     return std::clamp(
                line.slope * line.mean_tokens, min_slope_share * line.mean_time,
                line.mean_time) /
--- a/libs/mintknotd-platform/policy/src/placement.cpp
+++ b/libs/mintknotd-platform/policy/src/placement.cpp
@@ -4,16 +4,17 @@
 
 namespace {
 
-/// Part of a decode engine's memory that is given out; the rest is for loads
-/// that have not been told yet.
-constexpr double free_share = 0.97;
+/// Share of a decode engine's memory that is used; the rest allows for loads
+/// that have not been reported yet.
+constexpr double usable_share = 0.97;
 
 const traffic::server* choose_decode(
     const selection_inputs& inputs, const placement_query& query,
     const decode_request& wanted) {
     const traffic::server* chosen =
         select_decode(inputs, query.excluded, wanted);
-    if (chosen == nullptr && query.may_return && !query.excluded.empty())
+    if (chosen == nullptr && query.may_reuse_excluded &&
+        !query.excluded.empty())
         chosen = select_decode(inputs, {}, wanted);
     return chosen;
 }
@@ -23,7 +24,7 @@
     const traffic::server* chosen = select_plain(inputs, query.excluded);
     if (chosen == nullptr)
         return {};
-    if (query.kind == placement_kind::plain_with_room &&
+    if (query.kind == placement_kind::plain_with_free_slot &&
         traffic::total(inputs.loads, chosen->id).calls >= chosen->slots)
         return {};
     placement result;
@@ -31,14 +32,15 @@
     return result;
 }
 
-/// Servers that a query rules out at most; bounds the datagram.
-constexpr std::size_t max_avoided = 32;
+/// Most servers that a query excludes; bounds the size of the datagram.
+constexpr std::size_t max_excluded = 32;
 
 } // namespace
 
-placement choose(const selection_inputs& inputs, const placement_query& query) {
+placement
+choose_servers(const selection_inputs& inputs, const placement_query& query) {
     if (query.kind == placement_kind::plain ||
-        query.kind == placement_kind::plain_with_room)
+        query.kind == placement_kind::plain_with_free_slot)
         return choose_plain(inputs, query);
     const traffic::server* prefill =
         query.kind == placement_kind::prefill_and_decode
@@ -46,18 +48,18 @@
                   inputs, query.excluded_prefill, query.prompt_tokens)
             : nullptr;
     const decode_request wanted{
-        query.memory_tokens, free_share,
+        query.memory_tokens, usable_share,
         prefill == nullptr ? std::string() : prefill->data_centre};
     const traffic::server* decode = choose_decode(inputs, query, wanted);
     placement result;
     if (decode == nullptr) {
-        result.room = summarize_room(inputs, wanted);
+        result.capacity = summarize_capacity(inputs, wanted);
         return result;
     }
     result.server = decode->id;
     if (prefill != nullptr &&
-        expected_read_time(inputs, *prefill, query.prompt_tokens) <
-            query.read_limit) {
+        expected_prefill_time(inputs, *prefill, query.prompt_tokens) <
+            query.max_prefill_time) {
         result.prefill = prefill->id;
         result.tokens_ahead =
             traffic::total(inputs.loads, prefill->id).prefill_tokens;
@@ -75,10 +77,10 @@
         servers.partial ? named : traffic::open_servers(servers, query.service);
     excluded_servers found;
     for (const traffic::server* server : known)
-        if (avoided(health, server->id, now) ||
+        if (is_avoided(health, server->id, now) ||
             avoided_until(health, server->id) > now)
             found.insert(server->id);
-    if (found.size() > max_avoided || found.size() * 2 > known.size())
+    if (found.size() > max_excluded || found.size() * 2 > known.size())
         return;
     query.excluded_prefill.insert(found.begin(), found.end());
     query.excluded.insert(found.begin(), found.end());
@@ -94,7 +96,7 @@
                                  known->service == query.service &&
                                  (traffic::leaves(servers, *known) ||
                                   rests(health.resting, id, now));
-        if (unavailable && found.size() < max_avoided)
+        if (unavailable && found.size() < max_excluded)
             found.insert(id);
     };
     for (const auto& [id, life] : servers.said_leaving)
@@ -105,7 +107,7 @@
         return;
     query.excluded_prefill.insert(found.begin(), found.end());
     query.excluded.insert(found.begin(), found.end());
-    query.may_return = false;
+    query.may_reuse_excluded = false;
 }
 
 void charge_placement(
--- a/libs/mintknotd-platform/policy/src/read_rates.cpp
+++ b/libs/mintknotd-platform/policy/src/prefill_rates.cpp
@@ -1,4 +1,4 @@
-#include <mintknot/policy/read_rates.hpp>
+#include <mintknot/policy/prefill_rates.hpp>
 
 #include <algorithm>
 #include <vector>
@@ -9,37 +9,38 @@
 
 /// Weight of a new observation.
 constexpr double learning_rate = 0.2;
-/// Tokens a millisecond of an engine while too few are known.
+/// Tokens per millisecond of an engine while too few rates are known.
 constexpr double default_rate = 20.0;
-/// In tokens a millisecond; guards against a division by nothing.
+/// In tokens per millisecond; avoids a division by zero.
 constexpr double min_rate = 0.1;
 constexpr std::size_t min_known_rates = 2;
 
 } // namespace
 
-void note_read(
-    read_rates& rates, const std::string& id, double tokens,
+void note_prefill(
+    prefill_rates& rates, const std::string& id, double tokens,
     base::milliseconds took) {
     if (tokens <= 0.0 || took <= base::milliseconds{0})
         return;
-    note_rate(rates, id, tokens / static_cast<double>(took.count()));
-    rates.fresh.insert(id);
+    note_prefill_rate(rates, id, tokens / static_cast<double>(took.count()));
+    rates.unreported.insert(id);
 }
 
-void note_rate(read_rates& rates, const std::string& id, double rate) {
+void note_prefill_rate(
+    prefill_rates& rates, const std::string& id, double rate) {
     const auto [entry, fresh] = rates.by_id.emplace(id, rate);
     if (!fresh)
         entry->second += learning_rate * (rate - entry->second);
 }
 
-void forget(read_rates& rates, const std::string& id) {
+void forget(prefill_rates& rates, const std::string& id) {
     rates.by_id.erase(id);
-    rates.fresh.erase(id);
+    rates.unreported.erase(id);
 }
 
 namespace {
 
-double median_rate(const read_rates& rates) {
+double median_rate(const prefill_rates& rates) {
     if (rates.by_id.size() < min_known_rates)
         return default_rate;
     std::vector<double> sorted;
@@ -53,7 +54,7 @@
 
 } // namespace
 
-double rate_of(const read_rates& rates, const std::string& id) {
+double prefill_rate_of(const prefill_rates& rates, const std::string& id) {
     const auto found = rates.by_id.find(id);
     const double rate =
         found == rates.by_id.end() ? median_rate(rates) : found->second;
@@ -61,9 +62,9 @@
 }
 
 base::milliseconds
-read_time(const read_rates& rates, const std::string& id, double tokens) {
+prefill_time(const prefill_rates& rates, const std::string& id, double tokens) {
     return base::milliseconds(
-        static_cast<std::int64_t>(tokens / rate_of(rates, id)));
+        static_cast<std::int64_t>(tokens / prefill_rate_of(rates, id)));
 }
 
 } // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/src/repeat_rights.cpp
+++ b/libs/mintknotd-platform/policy/src/repeat_rights.cpp
@@ -88,7 +88,7 @@
 int repeats_to_borrow(
     retry_allowance& allowance, const retry_bounds& bounds,
     const spend_terms& terms, base::steady_time now) {
-    if (!is_large(terms.instances))
+    if (!is_large_group(terms.instances))
         return 0;
     drop_lapsed(allowance, now);
     const int left =
--- a/libs/mintknotd-platform/policy/src/retry_allowance.cpp
+++ b/libs/mintknotd-platform/policy/src/retry_allowance.cpp
@@ -84,7 +84,7 @@
 bool spend(
     retry_allowance& allowance, const retry_bounds& bounds,
     const spend_terms& terms, base::steady_time now) {
-    if (is_large(terms.instances))
+    if (is_large_group(terms.instances))
         return spend_right(allowance, bounds, terms, now);
     refill(allowance, bounds, terms, now);
     const retry_usage mine = usage(allowance, bounds, now);
--- a/libs/mintknotd-platform/policy/src/server_avoidance.cpp
+++ b/libs/mintknotd-platform/policy/src/server_avoidance.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// Which servers are avoided, by own results, peers' warnings and orders.
+/// Combines own results, warnings of peers and phase change orders into the
+/// decision to avoid a server.
 
 #include <mintknot/policy/server_health.hpp>
 
@@ -9,51 +10,55 @@
 
 namespace {
 
-/// A peer's warning does not count so soon after an own good call: the fault
-/// may lie between the peer and the server.
-constexpr base::milliseconds own_trust{700};
+/// A peer's warning is ignored for this long after an own successful call: the
+/// fault may lie between the peer and the server.
+constexpr base::milliseconds own_success_validity{700};
 
-/// Good answers, weighed down with age, that tell more than the warning of one
-/// instance: some five a second. Below that a crash is to be believed at once.
+/// Decayed number of successful calls of peers that outweighs the warning of a
+/// single instance: about five calls a second. With fewer, a warning of a crash
+/// is believed at once.
 constexpr double calls_to_outweigh_warnings = 40.0;
-/// The last of them must be so young: reports are sent every 60 ms.
-constexpr base::milliseconds peers_trust{200};
+/// Longest age of the last of these calls: reports are sent every 60 ms.
+constexpr base::milliseconds peer_success_validity{200};
 
 } // namespace
 
-void note_change(
+void note_phase_change(
     health_view& view, const std::string& id, base::steady_time until) {
-    view.ordered_until[id] = until;
+    view.phase_change_until[id] = until;
 }
 
-void note_peer_change(
+void note_peer_phase_change(
     health_view& view, const std::string& id, base::steady_time until) {
-    // A later word of the same order must not extend it: a change that has
-    // been seen to end would otherwise begin again.
-    view.peers_ordered_until.emplace(id, until);
+    // A later message about the same order must not extend it, or a change that
+    // has already ended would begin again.
+    view.peer_phase_change_until.emplace(id, until);
 }
 
-bool changing(
+bool is_changing_phase(
     const health_view& view, const std::string& id, base::steady_time now) {
     const auto is_later = [&](const auto& times) {
         const auto found = times.find(id);
         return found != times.end() && found->second > now;
     };
-    return is_later(view.ordered_until) || is_later(view.peers_ordered_until);
+    return is_later(view.phase_change_until) ||
+           is_later(view.peer_phase_change_until);
 }
 
-void end_change(health_view& view, const std::string& id) {
-    view.ordered_until.erase(id);
+void end_phase_change(health_view& view, const std::string& id) {
+    view.phase_change_until.erase(id);
     view.warned_until.erase(id);
-    // Kept in the past: a peer may still speak of the change for a while.
-    view.peers_ordered_until[id] = base::steady_time{};
+    // Kept with a time in the past: a peer may still report the change for a
+    // while.
+    view.peer_phase_change_until[id] = base::steady_time{};
 }
 
-void warn(
+void note_peer_warning(
     health_view& view, const std::string& id, base::steady_time until,
     base::steady_time now) {
-    const auto found = view.own.find(id);
-    if (found != view.own.end() && now - found->second.good_at < own_trust)
+    const auto found = view.own_records.find(id);
+    if (found != view.own_records.end() &&
+        now - found->second.last_success < own_success_validity)
         return;
     base::steady_time& warned = view.warned_until[id];
     warned = std::max(warned, until);
@@ -62,7 +67,7 @@
 std::vector<server_warning>
 own_warnings(const health_view& view, base::steady_time now) {
     std::vector<server_warning> warnings;
-    for (const auto& [id, record] : view.own)
+    for (const auto& [id, record] : view.own_records)
         if (record.avoid_until > now)
             warnings.push_back({id, base::time_left(record.avoid_until, now)});
     return warnings;
@@ -70,12 +75,12 @@
 
 namespace {
 
-bool trusted_by_many(
+bool has_many_peer_successes(
     const health_view& view, const std::string& id, base::steady_time now) {
-    const auto found = view.of_peers.find(id);
-    return found != view.of_peers.end() &&
+    const auto found = view.peer_records.find(id);
+    return found != view.peer_records.end() &&
            found->second.good >= calls_to_outweigh_warnings &&
-           now - found->second.good_at <= peers_trust;
+           now - found->second.last_success <= peer_success_validity;
 }
 
 base::steady_time time_in(
@@ -85,18 +90,19 @@
     return found == times.end() ? base::steady_time{} : found->second;
 }
 
-/// @return when no own experience, peer's warning or order speaks against the
-/// server any more.
+/// @return the time from which neither own results nor peers' reports nor
+/// orders keep the server from being used.
 base::steady_time usable_from(
     const health_view& view, const std::string& id, base::steady_time now) {
     const base::steady_time ordered = std::max(
-        time_in(view.ordered_until, id), time_in(view.peers_ordered_until, id));
-    if (trusted_by_many(view, id, now))
+        time_in(view.phase_change_until, id),
+        time_in(view.peer_phase_change_until, id));
+    if (has_many_peer_successes(view, id, now))
         return ordered;
-    const auto told = view.of_peers.find(id);
-    const base::steady_time paused = told == view.of_peers.end()
+    const auto reported = view.peer_records.find(id);
+    const base::steady_time paused = reported == view.peer_records.end()
                                          ? base::steady_time{}
-                                         : told->second.avoid_until;
+                                         : reported->second.avoid_until;
     return std::max(
         {ordered, paused, avoided_until(view, id),
          time_in(view.warned_until, id)});
@@ -104,16 +110,16 @@
 
 } // namespace
 
-bool avoided(
+bool is_avoided(
     const health_view& view, const std::string& id, base::steady_time now) {
     return usable_from(view, id, now) > now;
 }
 
 base::steady_time
 avoided_until(const health_view& view, const std::string& id) {
-    const auto found = view.own.find(id);
-    return found == view.own.end() ? base::steady_time{}
-                                   : found->second.avoid_until;
+    const auto found = view.own_records.find(id);
+    return found == view.own_records.end() ? base::steady_time{}
+                                           : found->second.avoid_until;
 }
 
 base::milliseconds avoided_for(
--- a/libs/mintknotd-platform/policy/src/server_health.cpp
+++ b/libs/mintknotd-platform/policy/src/server_health.cpp
@@ -8,43 +8,45 @@
 
 namespace {
 
-/// Time in which a result loses half of its weight: some ejections long, so
-/// that a server is judged by what it did around them.
+/// Half-life of a result: a few ejections long, so that a server is rated by
+/// its results around them.
 constexpr std::chrono::duration<double> half_life{6.0};
 
-/// An ejection lasts so long at first and doubles with each one that follows
-/// before the server is trusted again. A restart takes seconds.
+/// Duration of the first ejection; it doubles with each further one until the
+/// server is healthy again. A restart takes seconds.
 constexpr base::milliseconds first_ejection{1500};
 constexpr base::milliseconds max_ejection{8000};
 constexpr int max_doublings = 3;
 
-/// Failures in a row after which a server is ejected.
+/// Consecutive failures after which a server is ejected.
 constexpr int failures_to_eject = 3;
-/// The same for slow answers: one may lie in the request.
+/// The same for slow answers: a single one may be due to the request.
 constexpr int slow_calls_to_eject = 2;
 
-/// Rejections in a row after which a server is paused, longer with each further
-/// one up to so many pauses: one that turns everything away looks idle.
+/// Consecutive rejections after which a server is paused, longer with each
+/// further one up to max_rejection_pauses pauses: a server that rejects
+/// everything looks idle.
 constexpr int rejections_to_pause = 2;
 constexpr base::milliseconds rejection_pause{500};
 constexpr int max_rejection_pauses = 4;
-/// Results of one server that wait to be told: far more than come between two
-/// reports. In small groups nobody is told, and the counts stay here.
-constexpr int max_untold = 1000;
-/// Rejections of one report that count: more make no pause longer.
+/// Upper bound on the unreported results of one server, far more than occur
+/// between two reports. Small groups send no reports, and the counts are never
+/// taken.
+constexpr int max_unreported = 1000;
+/// Rejections of one report that count: more would not make the pause longer.
 constexpr int max_rejections = rejections_to_pause + max_rejection_pauses;
 
-/// How long a server is avoided that is no longer at its address: its row goes
-/// before that.
+/// How long a server is avoided that is no longer at its address: its row is
+/// removed before that.
 constexpr base::milliseconds misdirected_ejection{10000};
-/// How much longer a server is avoided after a failed health check. A check a
-/// second, as balancers do.
+/// How much longer a server is avoided after a failed health check. There is
+/// one check a second, as load balancers do it.
 constexpr base::milliseconds failed_check_ejection{1200};
 
-/// Share of failures above which a server is ejected, once its recent calls
-/// weigh so much.
+/// Share of failures above which a server is ejected, once the decayed number
+/// of its recent calls reaches min_calls_for_share.
 constexpr double share_to_eject = 0.5;
-constexpr double calls_to_judge = 4.0;
+constexpr double min_calls_for_share = 4.0;
 
 void decay(health_record& record, base::steady_time now) {
     const std::chrono::duration<double> passed = now - record.changed;
@@ -67,8 +69,8 @@
     return fresh;
 }
 
-/// A server that turns everything away has nothing to do and would be chosen
-/// again and again for that.
+/// A server that rejects everything has no load and would be chosen again and
+/// again for that.
 bool note_rejection(health_record& record, base::steady_time now) {
     ++record.rejections_in_a_row;
     if (record.rejections_in_a_row < rejections_to_pause)
@@ -82,7 +84,7 @@
     return fresh;
 }
 
-bool to_be_ejected(const health_record& record, call_result result) {
+bool should_eject(const health_record& record, call_result result) {
     if (result == call_result::unreachable || result == call_result::silent ||
         result == call_result::misdirected)
         return true;
@@ -93,28 +95,30 @@
     if (record.failures_in_a_row >= failures_to_eject)
         return true;
     const double calls = record.good + record.bad;
-    return calls >= calls_to_judge && record.bad > share_to_eject * calls;
+    return calls >= min_calls_for_share && record.bad > share_to_eject * calls;
 }
 
 void count(int& results) {
-    results = std::min(results + 1, max_untold);
+    results = std::min(results + 1, max_unreported);
 }
 
-/// What lies between this instance and the server is nobody else's.
-void note_untold(health_view& view, const std::string& id, call_result result) {
+/// Failures of the network between this instance and the server are not
+/// reported.
+void note_unreported(
+    health_view& view, const std::string& id, call_result result) {
     if (result == call_result::good)
-        count(view.untold[id].good);
+        count(view.unreported[id].good);
     else if (result == call_result::failed || result == call_result::silent)
-        count(view.untold[id].bad);
+        count(view.unreported[id].bad);
     else if (result == call_result::rejected)
-        count(view.untold[id].rejected);
+        count(view.unreported[id].rejected);
 }
 
 void note_good(health_record& record, base::steady_time now) {
     record.good += 1.0;
     record.failures_in_a_row = 0;
     record.rejections_in_a_row = 0;
-    record.good_at = now;
+    record.last_success = now;
     if (record.avoid_until <= now)
         record.ejections = std::max(0, record.ejections - 1);
 }
@@ -141,12 +145,12 @@
     return "unknown";
 }
 
-bool note(
+bool note_call_result(
     health_view& view, const std::string& id, call_result result,
     base::steady_time now) {
-    health_record& record = view.own[id];
+    health_record& record = view.own_records[id];
     decay(record, now);
-    note_untold(view, id, result);
+    note_unreported(view, id, result);
     if (result == call_result::good) {
         note_good(record, now);
         return false;
@@ -155,18 +159,18 @@
         return note_rejection(record, now);
     record.bad += 1.0;
     ++record.failures_in_a_row;
-    return to_be_ejected(record, result) && eject(record, result, now);
+    return should_eject(record, result) && eject(record, result, now);
 }
 
 void note_peer_results(
     health_view& view, const result_map& results, base::steady_time now) {
     for (const auto& [id, counts] : results) {
-        health_record& record = view.of_peers[id];
+        health_record& record = view.peer_records[id];
         decay(record, now);
         record.good += counts.good;
         record.bad += counts.bad;
         if (counts.good > 0) {
-            record.good_at = now;
+            record.last_success = now;
             record.rejections_in_a_row = 0;
             continue;
         }
@@ -175,14 +179,14 @@
     }
 }
 
-result_map take_untold(health_view& view) {
-    return std::exchange(view.untold, {});
+result_map take_unreported(health_view& view) {
+    return std::exchange(view.unreported, {});
 }
 
-void note_check(
+void note_health_check(
     health_view& view, const std::string& id, bool passed,
     base::steady_time now) {
-    health_record& record = view.own[id];
+    health_record& record = view.own_records[id];
     if (!passed) {
         record.avoid_until = now + failed_check_ejection;
         return;
@@ -196,9 +200,9 @@
     base::steady_time now) {
     base::steady_time last_good{};
     for (const traffic::server* known : servers) {
-        const auto found = view.own.find(known->id);
-        if (found != view.own.end())
-            last_good = std::max(last_good, found->second.good_at);
+        const auto found = view.own_records.find(known->id);
+        if (found != view.own_records.end())
+            last_good = std::max(last_good, found->second.last_success);
     }
     if (last_good == base::steady_time{})
         return base::milliseconds{0};
@@ -206,11 +210,11 @@
 }
 
 double failure_share(const health_view& view, const std::string& id) {
-    // One good call is taken for granted, so that a single failure does not
-    // condemn a server.
+    // One success is assumed, so that a single failure does not give a share of
+    // 1.
     double calls = 1.0;
     double bad = 0.0;
-    for (const auto* records : {&view.own, &view.of_peers}) {
+    for (const auto* records : {&view.own_records, &view.peer_records}) {
         const auto found = records->find(id);
         if (found == records->end())
             continue;
@@ -221,12 +225,12 @@
 }
 
 void forget(health_view& view, const std::string& id) {
-    view.own.erase(id);
-    view.of_peers.erase(id);
-    view.untold.erase(id);
+    view.own_records.erase(id);
+    view.peer_records.erase(id);
+    view.unreported.erase(id);
     view.warned_until.erase(id);
-    view.ordered_until.erase(id);
-    view.peers_ordered_until.erase(id);
+    view.phase_change_until.erase(id);
+    view.peer_phase_change_until.erase(id);
     view.limits.servers.erase(id);
 }
 
--- a/libs/mintknotd-platform/policy/src/super_peers.cpp
+++ b/libs/mintknotd-platform/policy/src/super_peers.cpp
@@ -11,22 +11,22 @@
 
 namespace {
 
-/// Of all data centres: as many as hear each other with less than 0.01 of a
-/// core each. Three in each data centre, however many there are: one may be
-/// stopped and one cut off.
+/// Upper bound over all data centres: so many can exchange messages for less
+/// than 0.01 of a core each. At least three in each data centre, however many
+/// data centres there are: one may be stopped and one cut off.
 constexpr std::size_t max_super_peers = 60;
 constexpr std::size_t min_in_data_centre = 3;
-/// Two schedulers, their standbys, two readers of the store, and as much again
-/// to pass things on.
+/// Two schedulers, their standbys, two readers of the store, and as many again
+/// to relay changes.
 constexpr std::size_t max_in_data_centre = 12;
-/// Weaker instances than the strongest of the data centre become super-peers
-/// only where fewer than this part are there: reading 10,000 rows takes a whole
-/// core 0.3 s and 0.12 of one 3 s (calculated).
-constexpr std::size_t strong_part = 2;
-/// Shares are told apart from a thousandth of a core on.
+/// Members below the highest capacity class of the data centre become
+/// super-peers only to fill up to the maximum divided by this number: reading
+/// 10,000 rows takes 0.3 s on a whole core and 3 s on 0.12 of one (calculated).
+constexpr std::size_t weak_fill_divisor = 2;
+/// Processor shares are distinguished in units of a thousandth of a core.
 constexpr double share_unit = 1000.0;
-/// Jobs are told apart by their names in rendezvous hashing.
-constexpr const char* super_peer_job = "super-peer";
+/// Key of this duty in rendezvous hashing.
+constexpr const char* super_peer_key = "super-peer";
 
 } // namespace
 
@@ -51,7 +51,7 @@
     return static_cast<int>(std::floor(std::log2(units)));
 }
 
-std::vector<instance_info> ranked(std::vector<instance_info> members) {
+std::vector<instance_info> rank_members(std::vector<instance_info> members) {
     std::map<std::string, instance_info> by_host;
     std::map<int, std::vector<std::string>, std::greater<>> hosts_by_class;
     for (instance_info& member : members) {
@@ -61,17 +61,18 @@
     std::vector<instance_info> result;
     for (const auto& [capacity, hosts] : hosts_by_class)
         for (const std::string& host :
-             base::rendezvous_first(super_peer_job, hosts, hosts.size()))
+             base::rendezvous_first(super_peer_key, hosts, hosts.size()))
             result.push_back(by_host.at(host));
     return result;
 }
 
-std::size_t super_peers_among(
+std::size_t count_super_peers(
     const std::vector<instance_info>& by_rank, std::size_t data_centres) {
     const std::size_t most = std::clamp(
         max_super_peers / std::max<std::size_t>(data_centres, 1),
         min_in_data_centre, max_in_data_centre);
-    const std::size_t least = std::max(min_in_data_centre, most / strong_part);
+    const std::size_t least =
+        std::max(min_in_data_centre, most / weak_fill_divisor);
     const auto first_weaker = std::find_if(
         by_rank.begin(), by_rank.end(), [&](const instance_info& member) {
             return member.capacity < by_rank.front().capacity;
@@ -81,7 +82,7 @@
     return std::min(by_rank.size(), std::clamp(strong, least, most));
 }
 
-std::vector<std::string> registrars(
+std::vector<std::string> registrars_to_ask(
     const std::vector<instance_info>& by_rank, const std::string& own_host,
     const std::vector<std::string>& silent) {
     std::vector<std::string> hosts;
@@ -92,7 +93,7 @@
             silent.end();
         if (is_silent)
             continue;
-        if (++looked_at > registrars_asked)
+        if (++looked_at > max_registrars)
             break;
         if (member.host != own_host)
             hosts.push_back(member.host);
@@ -106,7 +107,7 @@
         by_rank.begin(), by_rank.end(),
         [&](const instance_info& member) { return member.host == own_host; });
     return found - by_rank.begin() < static_cast<std::ptrdiff_t>(std::min(
-                                         registrars_asked, by_rank.size()));
+                                         max_registrars, by_rank.size()));
 }
 
 } // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/tests/test_admission.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_admission.cpp
@@ -22,19 +22,19 @@
 
 } // namespace
 
-Test(admission, a_request_waits_where_it_is_expected_in_time) {
+Test(admission, request_waits_if_expected_to_meet_target) {
     cr_assert(should_wait(fresh(), milliseconds(600), to_first_event));
     cr_assert(!should_wait(fresh(), milliseconds(700), to_first_event));
-    // What it has waited counts.
+    // The time that it has already waited counts.
     cr_assert(!should_wait(
         fresh(milliseconds(100)), milliseconds(600), to_first_event));
 }
 
-Test(admission, what_is_not_foreseen_is_refused_at_once) {
+Test(admission, request_without_forecast_is_refused) {
     cr_assert(!should_wait(fresh(), std::nullopt, to_first_event));
 }
 
-Test(admission, a_prompt_that_was_read_is_worth_a_late_answer) {
+Test(admission, started_request_waits_until_its_deadline) {
     unplaced_request begun = fresh(milliseconds(800));
     begun.begun = true;
     cr_assert(should_wait(begun, milliseconds(2000), to_first_event));
@@ -42,22 +42,22 @@
     cr_assert(!should_wait(begun, milliseconds(13000), to_first_event));
 }
 
-Test(admission, a_shorter_deadline_shows_that_a_caller_came_back) {
+Test(admission, shorter_deadline_indicates_earlier_refusal) {
     longest_deadline longest;
     note_deadline(longest, milliseconds(14000), start);
     note_deadline(longest, milliseconds(11000), start);
-    cr_assert(!has_returned(longest, milliseconds(14000)));
-    cr_assert(!has_returned(longest, milliseconds(13990)));
-    cr_assert(has_returned(longest, milliseconds(13500)));
-    cr_assert(!has_returned(longest, std::nullopt));
-    // Callers may have changed their minds: an old figure is forgotten.
+    cr_assert(!was_refused_before(longest, milliseconds(14000)));
+    cr_assert(!was_refused_before(longest, milliseconds(13990)));
+    cr_assert(was_refused_before(longest, milliseconds(13500)));
+    cr_assert(!was_refused_before(longest, std::nullopt));
+    // Callers may use shorter deadlines by now: an old value expires.
     note_deadline(longest, milliseconds(9000), start + std::chrono::minutes(1));
-    cr_assert(!has_returned(longest, milliseconds(9000)));
+    cr_assert(!was_refused_before(longest, milliseconds(9000)));
 }
 
-Test(admission, callers_wait_for_a_first_event_by_target_and_pause) {
+Test(admission, caller_timeout_depends_on_target_and_gap) {
     using namespace std::chrono_literals;
-    cr_assert(first_event_patience(100ms, 100ms) == 2000ms);
-    cr_assert(first_event_patience(900ms, 300ms) == 3600ms);
-    cr_assert(first_event_patience(300ms, 600ms) == 4800ms);
+    cr_assert(caller_first_event_timeout(100ms, 100ms) == 2000ms);
+    cr_assert(caller_first_event_timeout(900ms, 300ms) == 3600ms);
+    cr_assert(caller_first_event_timeout(300ms, 600ms) == 4800ms);
 }
--- a/libs/mintknotd-platform/policy/tests/test_decode_packing.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_decode_packing.cpp
@@ -1,6 +1,7 @@
 /// @file
-/// Generation requests of very different sizes at decode engines that are
-/// nearly full, played in virtual time: who finds room, and who does not.
+/// Simulates, in virtual time, generation requests of very different sizes on
+/// decode engines that are nearly full. Guards against free memory that is
+/// spread over all engines in pieces too small for large requests.
 
 #include <mintknot/policy/placement.hpp>
 
@@ -21,22 +22,22 @@
 const base::steady_time begin = base::steady_time{} + std::chrono::hours(1);
 constexpr double memory_tokens = 28650.0;
 
-/// A domain with its load.
-struct play_options {
+/// A domain and its load.
+struct simulation_options {
     int engines = 38;
     double requests_per_second = 100.0;
     double mean_prompt = 3200.0;
     double max_prompt = 6800.0;
-    double spread = 0.5; ///< Of the logarithm.
-    milliseconds mean_hold{2200};
+    double spread = 0.5; ///< Standard deviation of the logarithm.
+    milliseconds mean_hold_time{2200};
     unsigned seed = 1;
 };
 
-/// What callers have got.
+/// Counts of requests and refusals.
 struct outcome {
     int requests = 0;
     int refused = 0;
-    int large = 0; ///< Those of the largest third.
+    int large = 0; ///< Prompts of more than 1.15 times the mean.
     int large_refused = 0;
 
     double refused_share() const {
@@ -47,17 +48,19 @@
     }
 };
 
-/// A request that holds memory.
-struct held_room {
+/// A running request and the memory that it holds.
+struct running_request {
     base::steady_time until;
     std::string server;
     traffic::server_load load;
-    bool operator>(const held_room& other) const { return until > other.until; }
+    bool operator>(const running_request& other) const {
+        return until > other.until;
+    }
 };
 
-class play {
+class simulation {
 public:
-    explicit play(const play_options& options)
+    explicit simulation(const simulation_options& options)
         : options_(options)
         , random_(options.seed) {
         service_.name = "s";
@@ -76,7 +79,8 @@
         }
     }
 
-    /// Counts after the first seconds, in which the engines fill.
+    /// Counts requests after a warm-up of five seconds, in which the engines
+    /// fill.
     outcome run(std::chrono::seconds time) {
         const auto counted_from = begin + std::chrono::seconds(5);
         std::exponential_distribution<double> gap(options_.requests_per_second);
@@ -119,13 +123,14 @@
         query.service = "s";
         query.kind = placement_kind::decode;
         query.memory_tokens = prompt + 500.0;
-        const std::string server = choose(inputs, query).server;
+        const std::string server = choose_servers(inputs, query).server;
         if (server.empty())
             return false;
         const traffic::server_load load{1, 0.0, query.memory_tokens};
         traffic::add(loads_, server, load);
         std::exponential_distribution<double> hold(
-            1.0 / std::chrono::duration<double>(options_.mean_hold).count());
+            1.0 /
+            std::chrono::duration<double>(options_.mean_hold_time).count());
         const auto time =
             std::chrono::duration_cast<base::steady_time::duration>(
                 std::chrono::duration<double>(hold(random_)));
@@ -140,24 +145,25 @@
         }
     }
 
-    play_options options_;
+    simulation_options options_;
     std::minstd_rand random_;
     traffic::service service_;
     traffic::server_table table_;
     traffic::load_view loads_;
     health_view health_;
-    read_rates rates_;
+    prefill_rates rates_;
     base::steady_time now_ = begin;
-    std::priority_queue<held_room, std::vector<held_room>, std::greater<>>
+    std::priority_queue<
+        running_request, std::vector<running_request>, std::greater<>>
         open_;
 };
 
 constexpr unsigned seeds = 10;
 
-outcome play_seeds(play_options options) {
+outcome simulate_seeds(simulation_options options) {
     outcome sum;
     for (options.seed = 1; options.seed <= seeds; ++options.seed) {
-        const outcome seen = play(options).run(std::chrono::seconds(35));
+        const outcome seen = simulation(options).run(std::chrono::seconds(35));
         sum.requests += seen.requests;
         sum.refused += seen.refused;
         sum.large += seen.large;
@@ -168,19 +174,19 @@
 
 } // namespace
 
-Test(decode_packing, large_requests_find_room_where_engines_are_nearly_full) {
-    play_options options;
+Test(decode_packing, large_requests_fit_on_nearly_full_engines) {
+    simulation_options options;
     options.requests_per_second = 110.0;
-    const outcome seen = play_seeds(options);
+    const outcome seen = simulate_seeds(options);
     cr_assert(seen.refused_share() < 0.005, "%.4f", seen.refused_share());
     cr_assert(
         seen.large_refused_share() < 0.015, "%.4f", seen.large_refused_share());
 }
 
-Test(decode_packing, beyond_what_fits_large_requests_are_not_the_only_ones) {
-    play_options options;
+Test(decode_packing, overload_does_not_refuse_only_large_requests) {
+    simulation_options options;
     options.requests_per_second = 120.0;
-    const outcome seen = play_seeds(options);
+    const outcome seen = simulate_seeds(options);
     cr_assert(seen.refused_share() < 0.02, "%.4f", seen.refused_share());
     cr_assert(
         seen.large_refused_share() < 0.05, "%.4f", seen.large_refused_share());
--- a/libs/mintknotd-platform/policy/tests/test_domain.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_domain.cpp
@@ -25,14 +25,14 @@
 
 } // namespace
 
-Test(domain, few_servers_are_one_domain) {
+Test(domain, few_servers_form_one_domain) {
     const auto table = servers_in({"a", "b"}, 12);
     const std::vector<domain> expected = {{"llm", ""}};
     cr_assert(domains_of(table, "llm", "a") == expected);
     cr_assert(domain_of(table, *traffic::find(table, "b-1")) == expected[0]);
 }
 
-Test(domain, many_servers_are_split_with_the_own_data_centre_first) {
+Test(domain, many_servers_are_split_by_data_centre) {
     const auto table = servers_in({"a", "b", "c"}, 10);
     const auto domains = domains_of(table, "llm", "b");
     cr_assert(domains.size() == 3);
@@ -41,7 +41,7 @@
         domain_of(table, *traffic::find(table, "c-1")).data_centre == "c");
 }
 
-Test(domain, all_choose_the_same_scheduler_in_any_order) {
+Test(domain, scheduler_does_not_depend_on_host_order) {
     const domain which{"llm", "a"};
     cr_assert(
         schedulers_of(which, {"1", "2", "3"}).active ==
--- a/libs/mintknotd-platform/policy/tests/test_engine_needs.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_engine_needs.cpp
@@ -6,25 +6,25 @@
 using namespace mintknot::policy;
 using base::milliseconds;
 
-Test(engine_needs, a_part_of_the_expected_output_is_reserved) {
+Test(engine_needs, reserves_share_of_expected_output) {
     cr_assert_float_eq(memory_needed({1000.0, 400.0, 200.0}), 1120.0, 1e-9);
 }
 
-Test(engine_needs, half_of_the_largest_output_is_expected_by_default) {
+Test(engine_needs, expects_half_of_max_output_by_default) {
     cr_assert_float_eq(
         memory_needed({1000.0, 400.0, std::nullopt}), 1120.0, 1e-9);
 }
 
-Test(engine_needs, a_guess_beyond_the_largest_output_does_not_count) {
+Test(engine_needs, estimate_is_capped_at_max_output) {
     cr_assert_float_eq(memory_needed({1000.0, 400.0, 9000.0}), 1240.0, 1e-9);
 }
 
-Test(engine_needs, a_prefill_may_take_what_is_left_of_the_target) {
+Test(engine_needs, prefill_limit_is_rest_of_target) {
     cr_assert(
         prefill_time_limit(
             milliseconds{1000}, milliseconds{200}, milliseconds{60}) ==
         milliseconds{740});
-    // Late in any case: the whole target.
+    // It is late in any case: the whole target.
     cr_assert(
         prefill_time_limit(
             milliseconds{1000}, milliseconds{980}, milliseconds{60}) ==
--- a/libs/mintknotd-platform/policy/tests/test_group.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_group.cpp
@@ -25,15 +25,15 @@
 
 using host_list = std::vector<std::string>;
 
-/// Who asks whom in a data centre of so many instances.
+/// @return the sources of each instance in a data centre of so many.
 std::map<std::string, host_list> sources_of_all(std::size_t count) {
     std::map<std::string, host_list> result;
     for (const std::string& host : hosts(count))
-        result[host] = store_access_of(host, hosts(count)).sources;
+        result[host] = flat_store_access(host, hosts(count)).sources;
     return result;
 }
 
-/// @return those that ask the store itself.
+/// @return the instances that read the store.
 host_list store_readers(std::size_t count) {
     host_list readers;
     for (const auto& [host, sources] : sources_of_all(count))
@@ -44,7 +44,7 @@
 
 } // namespace
 
-Test(group, two_instances_of_a_data_centre_read_the_store) {
+Test(group, two_instances_per_data_centre_read_store) {
     cr_assert_eq(store_readers(1).size(), 1U);
     for (const std::size_t count : {2, 9, 26, 36, 59, 100})
         cr_assert_eq(store_readers(count).size(), 2U, "of %zu", count);
@@ -52,7 +52,7 @@
 
 namespace {
 
-/// @return over how many instances news of the store comes to the host.
+/// @return the number of hops over which a host receives changes of the store.
 int hops(
     const std::map<std::string, host_list>& sources, const std::string& host) {
     int most = 0;
@@ -64,7 +64,7 @@
 
 } // namespace
 
-Test(group, all_hear_of_the_store_over_two_others_at_most) {
+Test(group, store_changes_take_two_hops_at_most) {
     for (const std::size_t count : {1, 3, 9, 26, 36, 59, 100}) {
         const auto all = sources_of_all(count);
         for (const auto& [host, sources] : all) {
@@ -74,41 +74,41 @@
     }
 }
 
-Test(group, large_data_centres_have_an_instance_for_each_dozen) {
-    // Each instance asks two of its sources in turn.
-    const store_access large = store_access_of("no reader", hosts(59));
+Test(group, large_data_centre_has_relay_per_dozen_instances) {
+    // An instance uses two of its sources in turn.
+    const store_access large = flat_store_access("no reader", hosts(59));
     cr_assert_eq(large.sources.size(), 4U);
-    cr_assert(!large.stands_in, "it has relays that do");
-    const store_access small = store_access_of("no reader", hosts(26));
+    cr_assert(!large.reads_store_as_fallback, "relays read the store instead");
+    const store_access small = flat_store_access("no reader", hosts(26));
     cr_assert_eq(small.sources.size(), 2U);
-    cr_assert(small.stands_in);
+    cr_assert(small.reads_store_as_fallback);
 }
 
-Test(group, all_choose_the_same_readers) {
+Test(group, readers_do_not_depend_on_host_order) {
     host_list shuffled = hosts(40);
     std::reverse(shuffled.begin(), shuffled.end());
     for (const std::string& host : shuffled)
         cr_assert(
-            store_access_of(host, hosts(40)).sources ==
-            store_access_of(host, shuffled).sources);
+            flat_store_access(host, hosts(40)).sources ==
+            flat_store_access(host, shuffled).sources);
 }
 
-Test(group, the_first_host_looks_after_phases) {
-    cr_assert(looks_after_phases("10.0.0.1", {"10.0.0.2", "10.0.0.3"}));
-    cr_assert(!looks_after_phases("10.0.0.2", {"10.0.0.1", "10.0.0.3"}));
-    cr_assert(looks_after_phases("10.0.0.2", {}));
+Test(group, smallest_host_is_phase_balancer) {
+    cr_assert(is_phase_balancer("10.0.0.1", {"10.0.0.2", "10.0.0.3"}));
+    cr_assert(!is_phase_balancer("10.0.0.2", {"10.0.0.1", "10.0.0.3"}));
+    cr_assert(is_phase_balancer("10.0.0.2", {}));
 }
 
-Test(group, a_fresh_instance_assumes_some_others) {
+Test(group, new_instance_assumes_minimum_group) {
     cr_assert_eq(assumed_instances(1), 10U);
     cr_assert_eq(assumed_instances(30), 30U);
-    cr_assert(!is_large(24));
-    cr_assert(is_large(25));
+    cr_assert(!is_large_group(24));
+    cr_assert(is_large_group(25));
 }
 
-Test(group, demand_is_told_to_who_looks_after_phases_in_the_data_centre) {
-    cr_assert(reader_of_demand("b", {"a", "c", "d"}, {"a", "c"}) == "a");
-    cr_assert(reader_of_demand("b", {"a", "c", "d"}, {"c"}).empty());
-    cr_assert(reader_of_demand("a", {"b", "c"}, {"b"}).empty());
-    cr_assert(reader_of_demand("a", {}, {}).empty());
+Test(group, demand_is_reported_to_phase_balancer_of_data_centre) {
+    cr_assert(demand_report_target("b", {"a", "c", "d"}, {"a", "c"}) == "a");
+    cr_assert(demand_report_target("b", {"a", "c", "d"}, {"c"}).empty());
+    cr_assert(demand_report_target("a", {"b", "c"}, {"b"}).empty());
+    cr_assert(demand_report_target("a", {}, {}).empty());
 }
--- a/libs/mintknotd-platform/policy/tests/test_idle_fleet.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_idle_fleet.cpp
@@ -1,6 +1,7 @@
 /// @file
-/// Placing where servers are many and requests few, played in virtual time: how
-/// many connections callers' requests open.
+/// Simulates, in virtual time, placement with many servers and few requests.
+/// Guards against requests that open new connections although other servers
+/// have idle ones.
 
 #include <mintknot/policy/placement.hpp>
 
@@ -17,23 +18,23 @@
 namespace {
 
 constexpr base::milliseconds tick{10};
-/// For which a server keeps an idle connection.
+/// How long a server keeps an idle connection open.
 constexpr base::milliseconds keep_alive{10000};
 constexpr int slots = 6;
 
-struct load_options {
+struct simulation_options {
     int instances = 40;
     int servers = 24;
-    double requests_per_s = 14.0; ///< Of all instances.
+    double requests_per_s = 14.0; ///< Of all instances together.
     base::milliseconds work{60};
-    bool tells_connections = true;
+    bool reports_connections = true;
 };
 
-/// What callers get.
-struct load_result {
+/// Counts of requests and connections.
+struct simulation_result {
     int requests = 0;
     int connections = 0;
-    int over_slots = 0; ///< Requests that met a full server.
+    int over_slots = 0; ///< Requests placed on a full server.
     int without_server = 0;
 
     double opened() const {
@@ -41,10 +42,10 @@
     }
 };
 
-/// Instances that call plain servers through one scheduler.
-class plain_play {
+/// Instances that call plain servers placed by one scheduler.
+class simulation {
 public:
-    explicit plain_play(const load_options& options)
+    explicit simulation(const simulation_options& options)
         : options_(options) {
         target_.name = "s";
         target_.max_connections = 10000;
@@ -57,7 +58,7 @@
         }
     }
 
-    load_result play(base::milliseconds length) {
+    simulation_result run(base::milliseconds length) {
         const base::steady_time end = now_ + length;
         std::poisson_distribution<int> arrivals(
             options_.requests_per_s *
@@ -99,9 +100,9 @@
                 return std::uniform_real_distribution<double>()(random_);
             }};
         inputs.all_loads_known = true;
-        if (options_.tells_connections)
+        if (options_.reports_connections)
             inputs.connected = &connected;
-        const std::string server = choose(inputs, {"s"}).server;
+        const std::string server = choose_servers(inputs, {"s"}).server;
         if (server.empty()) {
             ++result_.without_server;
             return;
@@ -114,44 +115,45 @@
         running_.push_back({now_ + options_.work, instance, server});
     }
 
-    load_options options_;
+    simulation_options options_;
     traffic::server_table servers_;
     traffic::load_view loads_;
     health_view health_;
-    read_rates rates_;
+    prefill_rates rates_;
     traffic::service target_;
     std::minstd_rand random_{7};
     base::steady_time now_ = base::steady_time{} + std::chrono::hours(1);
     std::deque<call> running_;
     std::map<int, std::map<std::string, base::steady_time>> idle_;
-    load_result result_;
+    simulation_result result_;
 };
 
-load_result play(const load_options& options) {
-    return plain_play(options).play(base::milliseconds{60000});
+simulation_result simulate(const simulation_options& options) {
+    return simulation(options).run(base::milliseconds{60000});
 }
 
 } // namespace
 
-Test(idle_fleet, callers_meet_open_connections) {
-    load_options options;
-    const load_result told = play(options);
-    options.tells_connections = false;
-    const load_result untold = play(options);
-    // 0.10 of the requests in place of 0.88 open one.
-    cr_assert(told.opened() < 0.25, "%.3f", told.opened());
-    cr_assert(untold.opened() > 0.7, "%.3f", untold.opened());
-    cr_assert(told.over_slots == 0 && told.without_server == 0);
+Test(idle_fleet, requests_reuse_open_connections) {
+    simulation_options options;
+    const simulation_result reported = simulate(options);
+    options.reports_connections = false;
+    const simulation_result unreported = simulate(options);
+    // About 0.10 of the requests open a connection, instead of 0.88.
+    cr_assert(reported.opened() < 0.25, "%.3f", reported.opened());
+    cr_assert(unreported.opened() > 0.7, "%.3f", unreported.opened());
+    cr_assert(reported.over_slots == 0 && reported.without_server == 0);
 }
 
-Test(idle_fleet, connections_do_not_lead_to_full_servers) {
-    load_options options;
+Test(idle_fleet, open_connections_do_not_overload_servers) {
+    simulation_options options;
     options.servers = 4;
     options.requests_per_s = 250.0; // 15 of 24 slots on average.
-    const load_result told = play(options);
-    options.tells_connections = false;
-    const load_result untold = play(options);
+    const simulation_result reported = simulate(options);
+    options.reports_connections = false;
+    const simulation_result unreported = simulate(options);
     cr_assert(
-        told.over_slots <= untold.over_slots + untold.requests / 100,
-        "%d and %d", told.over_slots, untold.over_slots);
+        reported.over_slots <=
+            unreported.over_slots + unreported.requests / 100,
+        "%d and %d", reported.over_slots, unreported.over_slots);
 }
--- a/libs/mintknotd-platform/policy/tests/test_selection.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_selection.cpp
@@ -12,7 +12,7 @@
 
 const base::steady_time start = base::steady_time{} + std::chrono::hours(1);
 
-/// Engines of one service, and the inputs to choose among them.
+/// Engines of one service, and the inputs of a selection among them.
 struct small_pool {
     small_pool() {
         target.name = "llm";
@@ -38,7 +38,7 @@
     traffic::server_table servers;
     traffic::load_view loads;
     health_view health;
-    read_rates rates;
+    prefill_rates rates;
     traffic::service target;
     std::uint64_t version = 0;
 };
@@ -49,7 +49,7 @@
 
 } // namespace
 
-Test(selection, decode_takes_the_engine_with_most_room) {
+Test(selection, decode_prefers_engine_with_most_free_memory) {
     small_pool pool;
     pool.add_server("d1", traffic::engine_phase::decode);
     pool.add_server("d2", traffic::engine_phase::decode);
@@ -58,7 +58,7 @@
         name_of(select_decode(pool.inputs(), {}, {3000.0, 1.0, ""})) == "d2");
 }
 
-Test(selection, decode_takes_the_fullest_engine_where_all_are_nearly_full) {
+Test(selection, decode_prefers_fullest_engine_if_all_are_nearly_full) {
     small_pool pool;
     pool.add_server("d1", traffic::engine_phase::decode);
     pool.add_server("d2", traffic::engine_phase::decode);
@@ -68,26 +68,26 @@
     add(pool.loads, "d3", {1, 0.0, 9500.0});
     cr_assert(
         name_of(select_decode(pool.inputs(), {}, {1000.0, 1.0, ""})) == "d2");
-    // The room that was left lies together.
+    // The remaining free memory is on one engine.
     cr_assert(
         name_of(select_decode(pool.inputs(), {}, {2500.0, 1.0, ""})) == "d1");
 }
 
-Test(selection, decode_without_room_is_none) {
+Test(selection, decode_needs_free_memory) {
     small_pool pool;
     pool.add_server("d1", traffic::engine_phase::decode);
     add(pool.loads, "d1", {1, 0.0, 8000.0});
     cr_assert(select_decode(pool.inputs(), {}, {3000.0, 1.0, ""}) == nullptr);
 }
 
-Test(selection, a_request_larger_than_a_share_goes_to_an_empty_engine) {
+Test(selection, oversized_request_goes_to_empty_engine) {
     small_pool pool;
     pool.add_server("d1", traffic::engine_phase::decode);
     cr_assert(
         name_of(select_decode(pool.inputs(), {}, {9900.0, 0.9, ""})) == "d1");
 }
 
-Test(selection, phases_are_kept_apart) {
+Test(selection, selection_respects_phases) {
     small_pool pool;
     pool.add_server("p", traffic::engine_phase::prefill);
     pool.add_server("d", traffic::engine_phase::decode);
@@ -96,49 +96,50 @@
     cr_assert(select_prefill(pool.inputs(), {"p"}, 100.0) == nullptr);
 }
 
-Test(selection, prefill_takes_the_engine_that_is_done_first) {
+Test(selection, prefill_prefers_engine_that_finishes_first) {
     small_pool pool;
     pool.add_server("p1", traffic::engine_phase::prefill);
     pool.add_server("p2", traffic::engine_phase::prefill);
     add(pool.loads, "p1", {1, 6000.0, 0.0});
     cr_assert(name_of(select_prefill(pool.inputs(), {}, 100.0)) == "p2");
-    // A slow engine is avoided although nothing waits there.
+    // A slow engine is not chosen although its queue is empty.
     for (int i = 0; i < 50; ++i)
-        note_read(pool.rates, "p2", 100.0, base::milliseconds(1000));
+        note_prefill(pool.rates, "p2", 100.0, base::milliseconds(1000));
     cr_assert(name_of(select_prefill(pool.inputs(), {}, 100.0)) == "p1");
 }
 
-Test(selection, an_avoided_server_is_not_chosen_because_others_are_full) {
+Test(selection, full_servers_do_not_make_avoided_one_eligible) {
     small_pool pool;
     pool.add_server("d1", traffic::engine_phase::decode);
     pool.add_server("d2", traffic::engine_phase::decode);
     add(pool.loads, "d1", {1, 0.0, 9900.0});
-    note(pool.health, "d2", call_result::unreachable, start);
+    note_call_result(pool.health, "d2", call_result::unreachable, start);
     cr_assert(select_decode(pool.inputs(), {}, {3000.0, 1.0, ""}) == nullptr);
 }
 
-Test(selection, room_at_an_avoided_engine_is_foreseen) {
+Test(selection, forecast_includes_avoided_engine) {
     small_pool pool;
     pool.add_server("d1", traffic::engine_phase::decode);
     pool.add_server("d2", traffic::engine_phase::decode);
     add(pool.loads, "d1", {1, 0.0, 9900.0});
-    warn(pool.health, "d2", start + std::chrono::milliseconds(300), start);
+    note_peer_warning(
+        pool.health, "d2", start + std::chrono::milliseconds(300), start);
     selection_inputs inputs = pool.inputs();
-    inputs.mean_hold = base::milliseconds(60000);
-    const room_summary seen = summarize_room(inputs, {3000.0, 1.0, ""});
+    inputs.mean_hold_time = base::milliseconds(60000);
+    const capacity_summary seen = summarize_capacity(inputs, {3000.0, 1.0, ""});
     cr_assert(seen.engines == 2 && seen.avoided == 1);
     cr_assert(seen.forecast.wait == base::milliseconds(300));
 }
 
-Test(selection, an_avoided_server_is_better_than_none) {
+Test(selection, avoided_server_is_used_if_there_is_no_other) {
     small_pool pool;
     pool.add_server("d1", traffic::engine_phase::decode);
-    note(pool.health, "d1", call_result::unreachable, start);
+    note_call_result(pool.health, "d1", call_result::unreachable, start);
     cr_assert(
         name_of(select_decode(pool.inputs(), {}, {10.0, 1.0, ""})) == "d1");
 }
 
-Test(selection, plain_prefers_its_own_data_centre_until_it_is_busy) {
+Test(selection, plain_prefers_own_data_centre_until_busy) {
     small_pool pool;
     pool.target.engine.reset();
     pool.add_server("near", traffic::engine_phase::none, "a");
@@ -148,7 +149,7 @@
     cr_assert(name_of(select_plain(pool.inputs(), {})) == "far");
 }
 
-Test(selection, decode_prefers_its_own_data_centre_until_it_is_fuller) {
+Test(selection, decode_prefers_own_data_centre_until_fuller) {
     small_pool pool;
     pool.add_server("near", traffic::engine_phase::decode, "a");
     pool.add_server("far", traffic::engine_phase::decode, "b");
@@ -160,7 +161,7 @@
         name_of(select_decode(pool.inputs(), {}, {100.0, 1.0, ""})) == "far");
 }
 
-Test(selection, connections_are_shared_among_instances) {
+Test(selection, connection_limit_is_shared_among_instances) {
     small_pool pool;
     pool.target.max_connections = 8;
     pool.add_server("s", traffic::engine_phase::none);
@@ -169,9 +170,9 @@
     cr_assert(select_plain(pool.inputs(), {}) == nullptr);
 }
 
-Test(selection, instances_with_the_same_view_do_not_all_choose_alike) {
-    // Found on the grown site: 86 instances with the same loads, a moment old,
-    // sent their requests to the same few of 90 engines.
+Test(selection, same_loads_do_not_give_same_choice) {
+    // Guards against herding: 86 instances with the same slightly outdated
+    // loads sent their requests to the same few of 90 engines.
     small_pool pool;
     for (int i = 0; i < 60; ++i) {
         const std::string id = "d" + std::to_string(i);
@@ -182,7 +183,7 @@
     std::set<std::string> chosen;
     for (int instance = 0; instance < 86; ++instance) {
         selection_inputs inputs = pool.inputs();
-        inputs.draw = [&random] {
+        inputs.draw_uniform = [&random] {
             return std::uniform_real_distribution<double>(0.0, 1.0)(random);
         };
         chosen.insert(name_of(select_decode(inputs, {}, {100.0, 1.0, ""})));
@@ -190,7 +191,7 @@
     cr_assert(chosen.size() > 10);
 }
 
-Test(selection, if_no_drawn_server_has_room_all_are_looked_at) {
+Test(selection, all_servers_are_tried_if_sample_is_full) {
     small_pool pool;
     for (int i = 0; i < 60; ++i) {
         const std::string id = "d" + std::to_string(i);
--- a/libs/mintknotd-platform/policy/tests/test_server_rest.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_server_rest.cpp
@@ -34,7 +34,7 @@
         query.service = target.name;
         query.kind = kind;
         query.memory_tokens = 100.0;
-        return choose(
+        return choose_servers(
             {servers, loads, health, rates, target, "", 1, start,
              [] { return 0.5; }},
             query);
@@ -43,7 +43,7 @@
     traffic::server_table servers;
     traffic::load_view loads;
     health_view health;
-    read_rates rates;
+    prefill_rates rates;
     traffic::service app{"app", "/health", 100, std::nullopt};
     traffic::service model{"llm", "/health", 100, std::nullopt};
     std::uint64_t version = 0;
@@ -81,7 +81,7 @@
     note_rest(f.health.resting, "d2", milliseconds(2000), start);
     const placement placed = f.place(f.model, placement_kind::decode);
     cr_assert(placed.server.empty());
-    cr_assert(placed.room.forecast.wait == milliseconds(2000));
+    cr_assert(placed.capacity.forecast.wait == milliseconds(2000));
 }
 
 Test(server_rest, a_scheduler_is_told_of_servers_that_rest_here) {
@@ -89,9 +89,9 @@
     note_rest(f.health.resting, "a", milliseconds(3000), start);
     placement_query query;
     query.service = "app";
-    query.may_return = true;
+    query.may_reuse_excluded = true;
     exclude_unavailable(query, f.servers, f.health, start);
     cr_assert(query.excluded.contains("a"));
     cr_assert(!query.excluded.contains("b"));
-    cr_assert(!query.may_return);
+    cr_assert(!query.may_reuse_excluded);
 }
--- a/libs/mintknotd-platform/policy/tests/test_shared_results.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_shared_results.cpp
@@ -1,6 +1,8 @@
 /// @file
-/// Plain calls of a large group to a few servers, played in virtual time: what
-/// callers get with and without the results of all peers at who places them.
+/// Simulates, in virtual time, plain calls of a large group to a few servers,
+/// with and without the results of all peers at the scheduler. Guards against
+/// calls that go on to servers which lose answers, and against single warnings
+/// that take healthy servers away.
 
 #include <mintknot/policy/placement.hpp>
 
@@ -22,23 +24,23 @@
 const base::steady_time begin = base::steady_time{} + std::chrono::hours(1);
 constexpr std::size_t servers = 10;
 constexpr std::size_t slots = 6;
-constexpr std::size_t max_in_flight = 30; ///< Slots and places to wait.
+constexpr std::size_t max_in_flight = 30; ///< Slots and queue places.
 constexpr milliseconds service_time{60};
 constexpr milliseconds report_delay{60};
 
-/// A load, and what strikes.
-struct play_options {
-    bool results_are_told = true;
-    double calls_per_second = 333.0; ///< All servers together bear 1,000.
-    std::size_t lossy_servers = 0;   ///< They lose the answer of so many:
+/// The load and the faults.
+struct simulation_options {
+    bool results_reported = true;
+    double calls_per_second = 333.0; ///< Capacity of all servers: 1,000.
+    std::size_t lossy_servers = 0;   ///< Number of servers that lose answers.
     double lost_share = 0.4;
-    /// One of the instances warns of some healthy server, so often.
+    /// Interval at which an instance warns of some healthy server; 0: never.
     milliseconds warning_gap{0};
     milliseconds warning_length{1500};
     unsigned seed = 1;
 };
 
-/// What callers have got.
+/// Counts of calls and their failures.
 struct outcome {
     int calls = 0;
     int lost = 0;
@@ -49,7 +51,7 @@
     }
 };
 
-/// A call in flight, then its result on the way to who places calls.
+/// A call in flight, or a result on its way to the scheduler.
 struct call {
     std::size_t server = 0;
     base::steady_time ends;
@@ -61,9 +63,9 @@
     return "i" + std::to_string(server);
 }
 
-class play {
+class simulation {
 public:
-    explicit play(const play_options& options)
+    explicit simulation(const simulation_options& options)
         : options_(options)
         , random_(options.seed) {
         service_.name = "s";
@@ -77,14 +79,14 @@
         }
     }
 
-    /// Counts after the first second.
+    /// Counts calls after a warm-up of one second.
     outcome run(std::chrono::seconds time) {
         std::exponential_distribution<double> gap(options_.calls_per_second);
         while (now_ < begin + time) {
             now_ += std::chrono::duration_cast<base::steady_time::duration>(
                 std::chrono::duration<double>(gap(random_)));
             end_calls();
-            warn_of_one();
+            inject_warning();
             place();
             if (now_ < begin + std::chrono::seconds(1))
                 seen_ = {};
@@ -104,7 +106,7 @@
             295,    now_,     [this] { return draw(); }};
         placement_query query;
         query.service = "s";
-        const std::string chosen = choose(inputs, query).server;
+        const std::string chosen = choose_servers(inputs, query).server;
         cr_assert(!chosen.empty());
         const auto server = static_cast<std::size_t>(chosen.back() - '0');
         ++seen_.calls;
@@ -126,43 +128,44 @@
     void end_calls() {
         while (!open_.empty() && open_.top().ends <= now_) {
             traffic::remove(loads_, name_of(open_.top().server), {1, 0.0, 0.0});
-            told_.push_back(open_.top());
+            reports_.push_back(open_.top());
             open_.pop();
         }
-        while (!told_.empty() && told_.front().ends + report_delay <= now_) {
-            const call& ended = told_.front();
-            if (options_.results_are_told)
+        while (!reports_.empty() &&
+               reports_.front().ends + report_delay <= now_) {
+            const call& ended = reports_.front();
+            if (options_.results_reported)
                 note_peer_results(
                     health_,
                     {{name_of(ended.server),
                       {ended.lost ? 0 : 1, ended.lost ? 1 : 0}}},
                     now_);
-            told_.pop_front();
+            reports_.pop_front();
         }
     }
 
-    void warn_of_one() {
+    void inject_warning() {
         if (options_.warning_gap.count() == 0 ||
-            now_ - warned_ < options_.warning_gap)
+            now_ - last_warning_ < options_.warning_gap)
             return;
-        warned_ = now_;
-        warn(
+        last_warning_ = now_;
+        note_peer_warning(
             health_, name_of(random_() % servers),
             now_ + options_.warning_length, now_);
     }
 
-    play_options options_;
+    simulation_options options_;
     std::minstd_rand random_;
     traffic::service service_;
     traffic::server_table table_;
     traffic::load_view loads_;
     health_view health_;
-    read_rates rates_;
+    prefill_rates rates_;
     base::steady_time now_ = begin;
-    base::steady_time warned_ = begin;
+    base::steady_time last_warning_ = begin;
     std::array<std::array<base::steady_time, slots>, servers> busy_{};
     std::priority_queue<call, std::vector<call>, std::greater<>> open_;
-    std::deque<call> told_;
+    std::deque<call> reports_;
     outcome seen_;
 };
 
@@ -170,14 +173,14 @@
 
 } // namespace
 
-Test(shared_results, calls_leave_servers_that_lose_answers) {
-    play_options options;
+Test(shared_results, calls_move_away_from_lossy_servers) {
+    simulation_options options;
     options.lossy_servers = 6;
     for (options.seed = 1; options.seed <= seeds; ++options.seed) {
-        options.results_are_told = false;
-        const outcome before = play(options).run(std::chrono::seconds(5));
-        options.results_are_told = true;
-        const outcome after = play(options).run(std::chrono::seconds(5));
+        options.results_reported = false;
+        const outcome before = simulation(options).run(std::chrono::seconds(5));
+        options.results_reported = true;
+        const outcome after = simulation(options).run(std::chrono::seconds(5));
         cr_log_info(
             "lost %.3f without, %.3f with", before.lost_share(),
             after.lost_share());
@@ -186,15 +189,16 @@
     }
 }
 
-Test(shared_results, warnings_of_single_instances_do_not_take_servers_away) {
-    play_options options;
+Test(shared_results, single_warnings_do_not_remove_servers) {
+    simulation_options options;
     options.calls_per_second = 780.0;
     options.warning_gap = milliseconds(500);
     for (options.seed = 1; options.seed <= seeds; ++options.seed) {
-        options.results_are_told = false;
-        const outcome before = play(options).run(std::chrono::seconds(10));
-        options.results_are_told = true;
-        const outcome after = play(options).run(std::chrono::seconds(10));
+        options.results_reported = false;
+        const outcome before =
+            simulation(options).run(std::chrono::seconds(10));
+        options.results_reported = true;
+        const outcome after = simulation(options).run(std::chrono::seconds(10));
         cr_log_info(
             "rejected %.3f without, %.3f with", before.rejected_share(),
             after.rejected_share());
--- a/libs/mintknotd-platform/policy/tests/test_timeouts.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_timeouts.cpp
@@ -6,16 +6,16 @@
 using namespace mintknot::policy;
 using base::milliseconds;
 
-Test(timeouts, a_prefill_gets_some_times_what_is_expected) {
+Test(timeouts, prefill_timeout_is_multiple_of_expected_time) {
     cr_assert(prefill_timeout(milliseconds{200}) == milliseconds{600});
     cr_assert(prefill_timeout(milliseconds{10}) == milliseconds{250});
 }
 
-Test(timeouts, the_first_event_may_take_longer) {
+Test(timeouts, first_event_timeout_is_longer) {
     cr_assert(event_timeout(false) > event_timeout(true));
 }
 
-Test(timeouts, a_plain_server_leaves_time_for_another_one) {
+Test(timeouts, plain_timeout_leaves_time_for_retry) {
     traffic::route route;
     route.target_latency = milliseconds{200};
     route.timeout = milliseconds{10000};
@@ -26,6 +26,6 @@
     cr_assert(plain_timeout(route) == milliseconds{300});
 }
 
-Test(timeouts, a_result_is_not_handed_over_at_its_last_moment) {
-    cr_assert(usable_life(milliseconds{500}) < milliseconds{500});
+Test(timeouts, hand_over_window_is_shorter_than_result_lifetime) {
+    cr_assert(hand_over_window(milliseconds{500}) < milliseconds{500});
 }
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
@@ -8,8 +8,8 @@
 #include <mintknot/policy/access.hpp>
 #include <mintknot/policy/admission.hpp>
 #include <mintknot/policy/phase_demand.hpp>
+#include <mintknot/policy/retry_after.hpp>
 #include <mintknot/policy/retry_allowance.hpp>
-#include <mintknot/policy/return_time.hpp>
 #include <mintknot/policy/selection.hpp>
 #include <mintknot/policy/server_health.hpp>
 #include <mintknot/relay/crash_guard.hpp>
@@ -81,7 +81,7 @@
     std::optional<base::steady_time> servers_confirmed;
     traffic::load_view loads;
     policy::health_view health;
-    policy::read_rates rates;
+    policy::prefill_rates rates;
     std::unordered_map<std::string, policy::phase_demand> demands;
     std::unordered_map<std::string, peer_demand> demands_of_peers; ///< By host.
     std::unordered_map<std::string, policy::retry_allowance> allowances;
@@ -96,7 +96,7 @@
     base::milliseconds grace{8000}; ///< From then on.
     std::unordered_map<std::string, policy::longest_deadline>
         deadlines; ///< By route.
-    std::unordered_map<std::string, policy::return_schedule>
+    std::unordered_map<std::string, policy::retry_after_schedule>
         returns; ///< By service.
     std::unordered_map<std::string, peer_waiting>
         waiting_of_peers; ///< By host.
@@ -199,7 +199,7 @@
 /// @return when a caller may come back that found no server within reach
 /// (policy/return_time.hpp), or none that accepts requests now.
 base::milliseconds
-return_after_outage(router_context& context, const std::string& service);
+outage_retry_after(router_context& context, const std::string& service);
 
 /// @return what a decision about a repeat looks at.
 policy::spend_terms
--- a/libs/mintknotd-platform/relay/src/exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/exchange.cpp
@@ -139,7 +139,7 @@
     if (found.what == policy::access_verdict::old_knowledge) {
         refuse(
             status_unavailable, "old_knowledge",
-            policy::return_after_entry_refusal);
+            policy::entry_refusal_retry_after);
         return false;
     }
     const bool same = found.organisation != nullptr &&
@@ -187,7 +187,7 @@
 }
 
 void exchange::give_up(std::string_view reason) {
-    give_up(reason, policy::default_return);
+    give_up(reason, policy::default_retry_after);
 }
 
 void exchange::give_up(std::string_view reason, base::milliseconds come_back) {
@@ -257,7 +257,7 @@
 bool exchange::returned() const {
     const auto found = context_.state.deadlines.find(route_.name);
     return found != context_.state.deadlines.end() &&
-           policy::has_returned(found->second, request_.terms.deadline);
+           policy::was_refused_before(found->second, request_.terms.deadline);
 }
 
 void exchange::end_answer(std::string_view outcome) {
--- a/libs/mintknotd-platform/relay/src/generation_decode.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_decode.cpp
@@ -38,7 +38,7 @@
         return;
     if (!prepay(policy::repeats_to_prepay(charges_, 1))) {
         take(policy::without_allowance(
-            attempts_, policy::is_large(context_.state.instances)));
+            attempts_, policy::is_large_group(context_.state.instances)));
         return;
     }
     decode_.used_result = result_usable();
@@ -148,7 +148,7 @@
         return std::chrono::duration_cast<base::milliseconds>(now - when);
     };
     policy::phase_demand& demand = context_.state.demands[service_.name];
-    policy::note_start(demand, since(decode_.placed));
+    policy::note_first_event(demand, since(decode_.placed));
     if (decode_.used_result)
         policy::note_hand_over(demand, since(decode_.started));
 }
--- a/libs/mintknotd-platform/relay/src/generation_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_exchange.cpp
@@ -67,10 +67,10 @@
                               : policy::placement_kind::decode;
     wanted.prompt_tokens = request_.terms.prompt_tokens;
     wanted.memory_tokens = memory_needed();
-    wanted.read_limit = policy::prefill_time_limit(
+    wanted.max_prefill_time = policy::prefill_time_limit(
         route_.target_latency, since_arrival(),
-        policy::mean_hand_over(context_.state.demands[service_.name]));
-    wanted.may_return = policy::may_return_to_engine(attempts_);
+        policy::mean_hand_over_time(context_.state.demands[service_.name]));
+    wanted.may_reuse_excluded = policy::may_return_to_engine(attempts_);
     wanted.excluded = decode_.tried;
     wanted.excluded_prefill = prefill_.tried;
     return wanted;
@@ -87,7 +87,7 @@
     const traffic::server* decode =
         traffic::find(context_.state.servers, placed.server);
     if (decode == nullptr || !may_send_to(context_, *decode)) {
-        policy::room_summary seen = placed.room;
+        policy::capacity_summary seen = placed.capacity;
         // A scheduler that does not know yet that the engine leaves will name
         // another one shortly.
         if (!placed.server.empty())
@@ -101,7 +101,7 @@
         place();
         return;
     }
-    placed_by_ = placed.by;
+    placed_by_ = placed.scheduler_host;
     decode_.server = decode->id;
     decode_.reserved_tokens = memory_needed();
     decode_.placed = context_.loop.now();
@@ -132,10 +132,10 @@
     return true;
 }
 
-void generation_exchange::wait_for_room(const policy::room_summary& seen) {
+void generation_exchange::wait_for_room(const policy::capacity_summary& seen) {
     const auto expected = expected_wait(seen.forecast);
     const base::milliseconds start =
-        policy::mean_start(context_.state.demands[service_.name]);
+        policy::mean_first_event_time(context_.state.demands[service_.name]);
     const policy::unplaced_request unplaced = describe_unplaced();
     // A stream that has begun is worth waiting for, whatever is foreseen.
     if (attempts_.answer_begun ||
@@ -151,11 +151,11 @@
     const policy::unplaced_request unplaced = describe_unplaced();
     if (attempts_.answer_begun ||
         policy::should_wait(
-            unplaced, policy::unreachable_pause, base::milliseconds{0})) {
-        wait_timer_.start(policy::unreachable_pause, [this] { place(); });
+            unplaced, policy::unreachable_retry_delay, base::milliseconds{0})) {
+        wait_timer_.start(policy::unreachable_retry_delay, [this] { place(); });
         return;
     }
-    give_up("server_unreachable", return_after_outage(context_, service_.name));
+    give_up("server_unreachable", outage_retry_after(context_, service_.name));
 }
 
 policy::unplaced_request generation_exchange::describe_unplaced() const {
@@ -163,7 +163,8 @@
     unplaced.waited = since_arrival();
     unplaced.target = route_.target_latency;
     const base::milliseconds patience_left =
-        policy::first_event_patience(route_.target_latency, route_.target_gap) -
+        policy::caller_first_event_timeout(
+            route_.target_latency, route_.target_gap) -
         since_arrival();
     unplaced.time_left = std::min(time_left(), patience_left);
     unplaced.begun = attempts_.prefills > 0 || attempts_.runs > 0;
@@ -175,7 +176,7 @@
 }
 
 std::optional<base::milliseconds> generation_exchange::expected_wait(
-    const policy::room_forecast& forecast) const {
+    const policy::capacity_forecast& forecast) const {
     const double ahead =
         context_.queue.tokens_ahead(service_.name, rank(false)) +
         tokens_ahead_elsewhere(
@@ -189,18 +190,18 @@
 }
 
 base::milliseconds generation_exchange::return_time(
-    const policy::room_forecast& forecast,
+    const policy::capacity_forecast& forecast,
     std::optional<base::milliseconds> expected) {
     if (const auto limited = limited_return_time(context_, service_.name))
         return *limited;
-    return policy::schedule_return(
+    return policy::schedule_retry_after(
         context_.state.returns[service_.name],
         {forecast, expected, memory_needed(), context_.state.instances},
         context_.loop.now());
 }
 
 void generation_exchange::log_room(
-    const policy::room_summary& room,
+    const policy::capacity_summary& room,
     std::optional<base::milliseconds> expected) {
     context_.log.write(
         "no_room",
@@ -208,7 +209,7 @@
          {"needs", memory_needed()},
          {"engines", std::int64_t{room.engines}},
          {"avoided", std::int64_t{room.avoided}},
-         {"most_room", room.max_room},
+         {"most_room", room.max_free_tokens},
          {"peers",
           static_cast<std::int64_t>(context_.state.loads.peers.size())},
          {"expected_wait_ms", expected.value_or(not_foreseen).count()},
--- a/libs/mintknotd-platform/relay/src/generation_exchange.hpp
+++ b/libs/mintknotd-platform/relay/src/generation_exchange.hpp
@@ -76,21 +76,21 @@
     /// request; the engine is ruled out from now on.
     bool names_leaving_prefill(const policy::placement& placed);
     /// @param seen by the last choice.
-    void wait_for_room(const policy::room_summary& seen);
+    void wait_for_room(const policy::capacity_summary& seen);
     /// Engines are there, but too many connections have failed in a row.
     void wait_for_connection();
     policy::unplaced_request describe_unplaced() const;
     policy::queue_rank rank(bool late) const;
     /// @return the wait behind all that go before.
     std::optional<base::milliseconds>
-    expected_wait(const policy::room_forecast& forecast) const;
+    expected_wait(const policy::capacity_forecast& forecast) const;
     void join_queue(bool late);
     /// @return what a refusal for want of room tells the caller.
     base::milliseconds return_time(
-        const policy::room_forecast& forecast,
+        const policy::capacity_forecast& forecast,
         std::optional<base::milliseconds> expected);
     void log_room(
-        const policy::room_summary& seen,
+        const policy::capacity_summary& seen,
         std::optional<base::milliseconds> expected);
     /// @return true if a kept result can still be handed over.
     bool result_usable() const;
--- a/libs/mintknotd-platform/relay/src/generation_prefill.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_prefill.cpp
@@ -19,7 +19,7 @@
     const double tokens = request_.terms.prompt_tokens;
     prefill_.tokens_ahead = ahead;
     prefill_.expected =
-        policy::read_time(context_.state.rates, engine.id, ahead + tokens);
+        policy::prefill_time(context_.state.rates, engine.id, ahead + tokens);
     prefill_.server = engine.id;
     prefill_.tried.insert(engine.id);
     prefill_.started = context_.loop.now();
@@ -103,11 +103,11 @@
 
 void generation_exchange::note_read_time(base::milliseconds took) {
     const double tokens = request_.terms.prompt_tokens;
-    policy::note_read(
+    policy::note_prefill(
         context_.state.rates, prefill_.server, tokens + prefill_.tokens_ahead,
         took);
     if (prefill_.tokens_ahead <= 0.0)
-        policy::note_read_alone(
+        policy::note_uncontended_prefill(
             context_.state.demands[service_.name], tokens, took);
 }
 
@@ -115,8 +115,8 @@
     kept_.server = prefill_.server;
     kept_.handle = result.handle;
     kept_.place = context_.protocol.result_place(kept_.place, result.handle);
-    kept_.until =
-        context_.loop.now() + policy::usable_life(service_.engine->handle_life);
+    kept_.until = context_.loop.now() +
+                  policy::hand_over_window(service_.engine->handle_life);
 }
 
 void generation_exchange::on_prefill_failure(upstream::call_failure why) {
--- a/libs/mintknotd-platform/relay/src/plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.cpp
@@ -68,7 +68,7 @@
     else if (chosen == nullptr || leaves)
         take(next_step(policy::call_end::no_server));
     else if (still_allowed())
-        send(*chosen, placed.by);
+        send(*chosen, placed.scheduler_host);
 }
 
 void plain_exchange::send(
@@ -242,7 +242,7 @@
         return;
     }
     if (step.server_out_of_reach) {
-        give_up(step.reason, return_after_outage(context_, service_.name));
+        give_up(step.reason, outage_retry_after(context_, service_.name));
         return;
     }
     end_by(what, what == step.what ? step.reason : step.otherwise_reason);
--- a/libs/mintknotd-platform/relay/src/router_state.cpp
+++ b/libs/mintknotd-platform/relay/src/router_state.cpp
@@ -64,7 +64,7 @@
     policy::call_result result, const std::string& request_id) {
     context.metrics.count_call(result);
     const base::steady_time now = context.loop.now();
-    if (!policy::note(context.state.health, server_id, result, now))
+    if (!policy::note_call_result(context.state.health, server_id, result, now))
         return;
     const auto left = base::time_left(
         policy::avoided_until(context.state.health, server_id), now);
@@ -93,7 +93,7 @@
     for (const auto& [peer, told] : state.retries_of_peers) {
         if (now - told.heard > state.retry_bounds.window)
             continue;
-        if (now - told.heard <= policy::peer_life)
+        if (now - told.heard <= policy::peer_lifetime)
             ++fleet.heard;
         const auto found = told.by_service.find(service);
         if (found == told.by_service.end())
@@ -126,7 +126,7 @@
             now - told.heard <= traffic::load_life)
             sum += found->second;
     }
-    return sum * policy::elsewhere_share_ahead;
+    return sum * policy::peer_share_ahead;
 }
 
 policy::phase_demand group_demand(
@@ -172,12 +172,12 @@
     const double share =
         rate /
         static_cast<double>(std::max<std::size_t>(context.state.instances, 1));
-    return policy::schedule_limited_return(
+    return policy::schedule_limited_retry_after(
         context.state.returns[service], *shortest_wait, share, now);
 }
 
 base::milliseconds
-return_after_outage(router_context& context, const std::string& service) {
+outage_retry_after(router_context& context, const std::string& service) {
     if (const auto limited = limited_return_time(context, service))
         return *limited;
     const auto rest = policy::time_until_first_end(
@@ -190,7 +190,7 @@
         context.state.health,
         traffic::open_servers(context.state.servers, service),
         context.loop.now());
-    return policy::return_after_outage(age);
+    return policy::outage_retry_after(age);
 }
 
 policy::spend_terms
@@ -199,7 +199,7 @@
     // Large groups do not look at it (repeat_rights.hpp), and it is a sum over
     // all peers.
     const policy::fleet_usage fleet =
-        policy::is_large(instances)
+        policy::is_large_group(instances)
             ? policy::fleet_usage{}
             : fleet_usage_of(context.state, service, context.loop.now());
     return {instances, fleet, context.state.started};
@@ -246,7 +246,7 @@
         return context.placement->ask(std::move(query), then);
     policy::selection_inputs inputs = selection_for(context, target);
     inputs.connected = &query.connected;
-    const policy::placement placed = policy::choose(inputs, query);
+    const policy::placement placed = policy::choose_servers(inputs, query);
     policy::charge_placement(
         context.state.health.limits, context.state.servers, target.name, placed,
         context.loop.now());
@@ -267,7 +267,8 @@
         context.state.instances,
         context.loop.now(),
         [&context] { return context.draw(); }};
-    inputs.mean_hold = policy::mean_hold(context.state.demands[target.name]);
+    inputs.mean_hold_time =
+        policy::mean_hold_time(context.state.demands[target.name]);
     return inputs;
 }
 
--- a/libs/mintknotd-platform/relay/tests/test_entry_server.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_entry_server.cpp
@@ -183,14 +183,14 @@
         policy::drain_step::close_idle);
     cr_assert(
         policy::next_drain_step(seconds(3), seconds(8), 0) ==
-        policy::drain_step::leave);
+        policy::drain_step::terminate);
     cr_assert(
         policy::next_drain_step(seconds(7), seconds(8), 3) ==
         policy::drain_step::close_idle);
     cr_assert(
         policy::next_drain_step(base::milliseconds(7700), seconds(8), 3) ==
-        policy::drain_step::leave);
+        policy::drain_step::terminate);
     cr_assert(
         policy::next_drain_step(seconds(0), seconds(0), 9) ==
-        policy::drain_step::leave);
+        policy::drain_step::terminate);
 }
--- a/libs/mintknotd-platform/relay/tests/test_plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_plain_exchange.cpp
@@ -109,7 +109,7 @@
 Test(plain_exchange, after_a_long_outage_callers_are_told_to_come_back_later) {
     relay_fixture f;
     f.add_dead_server("i1", "app");
-    policy::note(
+    policy::note_call_result(
         f.context.state.health, "i1", policy::call_result::good,
         f.owner.now() - std::chrono::seconds(3));
     const caller_view seen = f.ask(request("/unsafe/x"));
--- a/libs/mintknotd-platform/relay/tests/test_server_notices.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_server_notices.cpp
@@ -86,7 +86,7 @@
         seen = query;
         policy::placement placed;
         placed.server = seen.excluded.contains("s") ? "t" : "s";
-        placed.by = "scheduler";
+        placed.scheduler_host = "scheduler";
         return placed;
     });
     f.context.placement = &placer;
@@ -96,11 +96,11 @@
     cr_assert(t.requests.size() == 1);
     policy::placement_query query;
     query.service = "app";
-    query.may_return = true;
+    query.may_reuse_excluded = true;
     policy::exclude_unavailable(
         query, f.context.state.servers, f.context.state.health, f.owner.now());
     cr_assert(query.excluded.contains("s"));
-    cr_assert(!query.may_return);
+    cr_assert(!query.may_reuse_excluded);
 }
 
 Test(server_notices, an_instance_that_becomes_a_leaf_remembers_the_words) {
--- a/libs/mintknotd-platform/runtime/src/heartbeat_content.cpp
+++ b/libs/mintknotd-platform/runtime/src/heartbeat_content.cpp
@@ -31,7 +31,7 @@
         own.loads = state.loads.own;
     own.waiting = router.queue.waiting();
     own.warnings = policy::own_warnings(state.health, now);
-    for (const auto& [id, until] : state.health.ordered_until)
+    for (const auto& [id, until] : state.health.phase_change_until)
         if (until > now)
             own.changes.push_back({id, base::time_left(until, now)});
     return own;
@@ -48,11 +48,11 @@
     relay::note_retries(
         state, host, heartbeat.incarnation, heartbeat.usage, now);
     for (const policy::server_warning& change : heartbeat.changes)
-        policy::note_peer_change(
+        policy::note_peer_phase_change(
             state.health, change.server_id, now + change.left);
     for (const policy::server_warning& warning : heartbeat.warnings)
         if (concerns_here(router, heartbeat, warning.server_id))
-            policy::warn(
+            policy::note_peer_warning(
                 state.health, warning.server_id, now + warning.left, now);
 }
 
--- a/libs/mintknotd-platform/runtime/src/instance.cpp
+++ b/libs/mintknotd-platform/runtime/src/instance.cpp
@@ -159,7 +159,7 @@
     case policy::drain_step::close_idle:
         entry.close_idle();
         break;
-    case policy::drain_step::leave:
+    case policy::drain_step::terminate:
         leave(since);
         return;
     }
--- a/libs/mintknotd-platform/runtime/src/instance_group.cpp
+++ b/libs/mintknotd-platform/runtime/src/instance_group.cpp
@@ -35,7 +35,7 @@
     std::vector<std::string> hosts = peers::staying(group.table(), {});
     if (members_of_fleet.role() != policy::group_role::leaf)
         hosts.push_back(settings.peer.host);
-    return policy::judges_of_crashes(hosts);
+    return policy::crash_evaluators(hosts);
 }
 
 std::vector<std::string> instance::impl::followers() const {
@@ -178,7 +178,7 @@
 std::string instance::impl::reader_of_demand() const {
     if (!placer.active())
         return {};
-    return policy::reader_of_demand(
+    return policy::demand_report_target(
         settings.peer.host, peers::staying(group.table(), {}),
         peers::staying(group.table(), settings.data_centre));
 }
@@ -192,7 +192,7 @@
 
 bool instance::impl::looks_after_phases() const {
     return documents.knows_servers() &&
-           policy::looks_after_phases(
+           policy::is_phase_balancer(
                settings.peer.host, peers::staying(group.table(), {}));
 }
 
@@ -207,14 +207,14 @@
     if (!placer.active())
         return {};
     if (members_of_fleet.role() == policy::group_role::flat)
-        return policy::store_access_of(
+        return policy::flat_store_access(
             settings.peer.host, scheduler_hosts(settings.data_centre));
     std::vector<std::string> hosts;
     for (const policy::instance_info& member :
          members_of_fleet.table().view.super_peers)
         if (member.data_centre == settings.data_centre)
             hosts.push_back(member.host);
-    return policy::store_access_among(hosts, members_of_fleet.role());
+    return policy::super_peer_store_access(hosts, members_of_fleet.role());
 }
 
 } // namespace mintknot::runtime
--- a/libs/mintknotd-platform/runtime/src/instance_wiring.cpp
+++ b/libs/mintknotd-platform/runtime/src/instance_wiring.cpp
@@ -23,7 +23,7 @@
           ports.loop, pool, ports.protocol, log,
           [this](const std::string& id) { return check_of(id); },
           [this](const std::string& id, bool passed) {
-              policy::note_check(
+              policy::note_health_check(
                   context.state.health, id, passed, ports.loop.now());
           })
     , context{ports.loop, pool,     ports.protocol, log,
@@ -140,7 +140,7 @@
     if (!traffic::apply(context.state.servers, id, version, std::move(server)))
         return;
     if (changed)
-        policy::end_change(context.state.health, id);
+        policy::end_phase_change(context.state.health, id);
     context.queue.room_freed();
     if (reborn)
         log.write("server_reborn", {{"server", id}});
--- a/libs/mintknotd-platform/runtime/src/repeat_lending.cpp
+++ b/libs/mintknotd-platform/runtime/src/repeat_lending.cpp
@@ -53,7 +53,7 @@
 
 void repeat_lending::on_message(
     const std::string& host, const loan_request& request) {
-    if (!policy::is_large(router_.state.instances))
+    if (!policy::is_large_group(router_.state.instances))
         return;
     const auto found = router_.state.allowances.find(request.service);
     if (found == router_.state.allowances.end())
--- a/libs/mintknotd-platform/runtime/src/shared_store.cpp
+++ b/libs/mintknotd-platform/runtime/src/shared_store.cpp
@@ -78,7 +78,7 @@
 
 bool shared_store::shares_read(
     state::collection what, const policy::store_access& access) {
-    const bool can_share = access.shares_reads &&
+    const bool can_share = access.full_reads_from_sources &&
                            what != state::collection::leases &&
                            !access.sources.empty() && !reads_itself(access);
     if (!can_share) {
@@ -122,7 +122,7 @@
     entry->request = {what, after, reader_wait};
     entry->store_wait = wait;
     entry->on_answer = std::move(on_answer);
-    entry->stands_in = access.stands_in || direct;
+    entry->stands_in = access.reads_store_as_fallback || direct;
     entry->left = std::move(readers);
     begin(std::move(entry));
 }
--- a/libs/mintknotd-platform/scheduling/src/load_reporter.cpp
+++ b/libs/mintknotd-platform/scheduling/src/load_reporter.cpp
@@ -119,7 +119,7 @@
 void load_reporter::add_results(outgoing_map& reports) {
     const domain_hosts hosts(context_, directory_);
     for (const auto& [id, counts] :
-         policy::take_untold(context_.state.health)) {
+         policy::take_unreported(context_.state.health)) {
         const std::string& host = hosts.of(id).active;
         if (host.empty() || host == ports_.own_host)
             continue;
@@ -141,9 +141,10 @@
     if (reports.empty())
         return;
     std::vector<observed_rate> rates;
-    for (const std::string& id : context_.state.rates.fresh)
-        rates.push_back({id, policy::rate_of(context_.state.rates, id)});
-    context_.state.rates.fresh.clear();
+    for (const std::string& id : context_.state.rates.unreported)
+        rates.push_back(
+            {id, policy::prefill_rate_of(context_.state.rates, id)});
+    context_.state.rates.unreported.clear();
     for (auto& [host, entry] : reports) {
         entry.report.avoided = avoided;
         entry.report.rates = rates;
--- a/libs/mintknotd-platform/scheduling/src/messages.cpp
+++ b/libs/mintknotd-platform/scheduling/src/messages.cpp
@@ -56,8 +56,8 @@
         static_cast<int>(query.kind),
         whole(query.prompt_tokens),
         whole(query.memory_tokens),
-        query.read_limit.count(),
-        query.may_return,
+        query.max_prefill_time.count(),
+        query.may_reuse_excluded,
         to_json(query.excluded),
         to_json(query.excluded_prefill),
         query.data_centre};
@@ -80,8 +80,9 @@
     value.query.kind = static_cast<policy::placement_kind>(kind);
     value.query.prompt_tokens = number(row.at(5));
     value.query.memory_tokens = number(row.at(6));
-    value.query.read_limit = base::milliseconds(row.at(7).get<std::int64_t>());
-    value.query.may_return = row.at(8).get<bool>();
+    value.query.max_prefill_time =
+        base::milliseconds(row.at(7).get<std::int64_t>());
+    value.query.may_reuse_excluded = row.at(8).get<bool>();
     value.query.excluded = servers_from(row.at(9));
     value.query.excluded_prefill = servers_from(row.at(10));
     value.query.data_centre = row.at(11).get<std::string>();
@@ -94,13 +95,13 @@
 
 /// A forecast in milliseconds and thousandths of a token a millisecond; null
 /// where no wait is to be foreseen.
-json to_json(const policy::room_forecast& value) {
+json to_json(const policy::capacity_forecast& value) {
     const json wait = value.wait ? json(value.wait->count()) : json(nullptr);
     return {wait, whole(value.release_rate * rate_unit)};
 }
 
-policy::room_forecast forecast_from(const json& row) {
-    policy::room_forecast value;
+policy::capacity_forecast forecast_from(const json& row) {
+    policy::capacity_forecast value;
     if (!row.at(0).is_null())
         value.wait = base::milliseconds(row.at(0).get<std::int64_t>());
     value.release_rate = number(row.at(1)) / rate_unit;
@@ -142,10 +143,10 @@
         value.placed.server,
         value.placed.prefill,
         whole(value.placed.tokens_ahead),
-        value.placed.room.engines,
-        value.placed.room.avoided,
-        whole(value.placed.room.max_room),
-        to_json(value.placed.room.forecast)};
+        value.placed.capacity.engines,
+        value.placed.capacity.avoided,
+        whole(value.placed.capacity.max_free_tokens),
+        to_json(value.placed.capacity.forecast)};
     if (value.servers.empty())
         return row;
     json servers = json::array();
@@ -162,10 +163,10 @@
     value.placed.server = row.at(3).get<std::string>();
     value.placed.prefill = row.at(4).get<std::string>();
     value.placed.tokens_ahead = number(row.at(5));
-    value.placed.room.engines = row.at(6).get<int>();
-    value.placed.room.avoided = row.at(7).get<int>();
-    value.placed.room.max_room = number(row.at(8));
-    value.placed.room.forecast = forecast_from(row.at(9));
+    value.placed.capacity.engines = row.at(6).get<int>();
+    value.placed.capacity.avoided = row.at(7).get<int>();
+    value.placed.capacity.max_free_tokens = number(row.at(8));
+    value.placed.capacity.forecast = forecast_from(row.at(9));
     if (row.size() <= servers_element)
         return value;
     for (const json& entry : peers::bounded(row[servers_element]))
--- a/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
@@ -27,10 +27,10 @@
     policy::placement_query query;
     relay::placement_handler then;
     std::vector<policy::domain>
-        left;                  ///< Domains to be asked, the next one first.
-    policy::room_summary seen; ///< In the domains that had no room.
-    std::string asked;         ///< The scheduler that is to answer.
-    int tries = 0;             ///< Within the domain at hand.
+        left;                      ///< Domains to be asked, the next one first.
+    policy::capacity_summary seen; ///< In the domains that had no room.
+    std::string asked;             ///< The scheduler that is to answer.
+    int tries = 0;                 ///< Within the domain at hand.
     event::timer patience;
 };
 
@@ -56,7 +56,7 @@
             context.state.servers, query.service, context.options.data_centre);
         if (query.kind == policy::placement_kind::plain &&
             entry->left.size() > 1)
-            query.kind = policy::placement_kind::plain_with_room;
+            query.kind = policy::placement_kind::plain_with_free_slot;
         policy::exclude_avoided(
             query, context.state.servers, context.state.health, now());
         policy::exclude_unavailable(
@@ -80,7 +80,7 @@
         question& entry = *found->second;
         if (entry.left.empty()) {
             policy::placement placed = place_anywhere(entry.query);
-            placed.room = entry.seen;
+            placed.capacity = entry.seen;
             finish(number, placed);
             return;
         }
@@ -121,7 +121,7 @@
         // still.
         const bool last_chance = !holds_rows() && entry.left.size() == 1;
         if (last_chance &&
-            request.query.kind == policy::placement_kind::plain_with_room)
+            request.query.kind == policy::placement_kind::plain_with_free_slot)
             request.query.kind = policy::placement_kind::plain;
         return request;
     }
@@ -133,12 +133,12 @@
             finish(number, placed);
             return;
         }
-        entry.seen.engines += placed.room.engines;
-        entry.seen.avoided += placed.room.avoided;
-        entry.seen.max_room =
-            std::max(entry.seen.max_room, placed.room.max_room);
-        entry.seen.forecast =
-            policy::joined(entry.seen.forecast, placed.room.forecast);
+        entry.seen.engines += placed.capacity.engines;
+        entry.seen.avoided += placed.capacity.avoided;
+        entry.seen.max_free_tokens = std::max(
+            entry.seen.max_free_tokens, placed.capacity.max_free_tokens);
+        entry.seen.forecast = policy::merge_forecasts(
+            entry.seen.forecast, placed.capacity.forecast);
         entry.left.erase(entry.left.begin());
         entry.tries = 0;
         ask_next(number);
@@ -153,7 +153,7 @@
 
     /// No domain has room. Plain servers queue: one of them takes it still.
     policy::placement place_anywhere(const policy::placement_query& query) {
-        if (query.kind != policy::placement_kind::plain_with_room)
+        if (query.kind != policy::placement_kind::plain_with_free_slot)
             return {};
         policy::placement_query anywhere = query;
         anywhere.kind = policy::placement_kind::plain;
@@ -174,7 +174,7 @@
         inputs.own_data_centre = query.data_centre;
         inputs.all_loads_known = exact;
         inputs.connected = &query.connected;
-        policy::placement placed = policy::choose(inputs, query);
+        policy::placement placed = policy::choose_servers(inputs, query);
         policy::charge_placement(
             context.state.health.limits, context.state.servers, query.service,
             placed, now());
@@ -226,7 +226,7 @@
             traffic::note_named(context.state.servers, named);
         if (answer.known) {
             policy::placement placed = answer.placed;
-            placed.by = host;
+            placed.scheduler_host = host;
             if (!placed.server.empty())
                 reporter.placed_by(host);
             take(answer.number, placed);
@@ -242,11 +242,12 @@
     void on_message(const std::string& host, const load_report& report) {
         traffic::set_peer(context.state.loads, host, report.loads, now());
         for (const policy::server_warning& server : report.avoided)
-            policy::warn(
+            policy::note_peer_warning(
                 context.state.health, server.server_id, now() + server.left,
                 now());
         for (const observed_rate& observed : report.rates)
-            policy::note_rate(context.state.rates, observed.id, observed.rate);
+            policy::note_prefill_rate(
+                context.state.rates, observed.id, observed.rate);
         policy::note_peer_results(context.state.health, report.results, now());
     }
 
--- a/libs/mintknotd-platform/scheduling/tests/test_messages.cpp
+++ b/libs/mintknotd-platform/scheduling/tests/test_messages.cpp
@@ -13,8 +13,8 @@
     sent.query.kind = policy::placement_kind::prefill_and_decode;
     sent.query.prompt_tokens = 3000.0;
     sent.query.memory_tokens = 3040.0;
-    sent.query.read_limit = base::milliseconds(450);
-    sent.query.may_return = true;
+    sent.query.max_prefill_time = base::milliseconds(450);
+    sent.query.may_reuse_excluded = true;
     sent.query.excluded = {"d1", "d2"};
     sent.query.excluded_prefill = {"p1"};
     sent.query.data_centre = "a";
@@ -26,8 +26,8 @@
     cr_assert(got.query.kind == sent.query.kind);
     cr_assert(got.query.prompt_tokens == 3000.0);
     cr_assert(got.query.memory_tokens == 3040.0);
-    cr_assert(got.query.read_limit == sent.query.read_limit);
-    cr_assert(got.query.may_return);
+    cr_assert(got.query.max_prefill_time == sent.query.max_prefill_time);
+    cr_assert(got.query.may_reuse_excluded);
     cr_assert(got.query.excluded == sent.query.excluded);
     cr_assert(got.query.excluded_prefill == sent.query.excluded_prefill);
     cr_assert(got.query.data_centre == "a");
@@ -35,23 +35,23 @@
 
 Test(scheduling_messages, an_answer_comes_back_whole) {
     placement_answer sent{9, true, {"d", "p", 500.0}};
-    sent.placed.room = {12, 3, 6400.0, {base::milliseconds(120), 48.5}};
+    sent.placed.capacity = {12, 3, 6400.0, {base::milliseconds(120), 48.5}};
     const auto value = decode(encode(sent));
     cr_assert(value.ok());
     const auto& got = std::get<placement_answer>(*value);
     cr_assert(got.number == 9 && got.known);
     cr_assert(got.placed.server == "d" && got.placed.prefill == "p");
     cr_assert(got.placed.tokens_ahead == 500.0);
-    cr_assert(got.placed.room.engines == 12);
-    cr_assert(got.placed.room.avoided == 3);
-    cr_assert(got.placed.room.max_room == 6400.0);
-    cr_assert(got.placed.room.forecast.wait == base::milliseconds(120));
-    cr_assert(got.placed.room.forecast.release_rate == 48.5);
-    sent.placed.room.forecast.wait.reset();
+    cr_assert(got.placed.capacity.engines == 12);
+    cr_assert(got.placed.capacity.avoided == 3);
+    cr_assert(got.placed.capacity.max_free_tokens == 6400.0);
+    cr_assert(got.placed.capacity.forecast.wait == base::milliseconds(120));
+    cr_assert(got.placed.capacity.forecast.release_rate == 48.5);
+    sent.placed.capacity.forecast.wait.reset();
     const auto unforeseen = decode(encode(sent));
     cr_assert(unforeseen.ok());
     cr_assert(
-        !std::get<placement_answer>(*unforeseen).placed.room.forecast.wait);
+        !std::get<placement_answer>(*unforeseen).placed.capacity.forecast.wait);
 }
 
 Test(scheduling_messages, a_report_comes_back_whole) {
--- a/libs/mintknotd-platform/scheduling/tests/test_remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/tests/test_remote_placer.cpp
@@ -191,7 +191,7 @@
     bench b({"x"});
     for (const char* id : {"d1", "d2", "d3"})
         b.add_engine(id, decode_phase);
-    policy::note(
+    policy::note_call_result(
         b.f.context.state.health, "d2", policy::call_result::unreachable,
         b.f.owner.now());
     const auto ticket = b.ask();
--- a/testing/compatibility/test_router.cpp
+++ b/testing/compatibility/test_router.cpp
@@ -68,8 +68,8 @@
     value.query.kind = kind;
     value.query.prompt_tokens = 3000.0;
     value.query.memory_tokens = 3040.0;
-    value.query.read_limit = base::milliseconds(450);
-    value.query.may_return = true;
+    value.query.max_prefill_time = base::milliseconds(450);
+    value.query.may_reuse_excluded = true;
     value.query.excluded = {"d1", "d2"};
     value.query.excluded_prefill = {"p1"};
     return value;
@@ -77,7 +77,7 @@
 
 scheduling::placement_answer sample_answer() {
     scheduling::placement_answer value{9, true, {"d", "p", 500.0}};
-    value.placed.room = {12, 3, 6400.0, {base::milliseconds(120), 48.5}};
+    value.placed.capacity = {12, 3, 6400.0, {base::milliseconds(120), 48.5}};
     return value;
 }
 
@@ -94,13 +94,13 @@
     peers::heartbeat without_loads = sample_heartbeat();
     without_loads.loads.reset();
     scheduling::placement_answer unforeseen = sample_answer();
-    unforeseen.placed.room.forecast.wait.reset();
+    unforeseen.placed.capacity.forecast.wait.reset();
     std::string text =
         titled("heartbeat", to_hex(encode(sample_heartbeat()))) +
         titled("heartbeat without loads", to_hex(encode(without_loads)));
     std::uint64_t number = 0;
     for (const auto kind :
-         {placement_kind::plain, placement_kind::plain_with_room,
+         {placement_kind::plain, placement_kind::plain_with_free_slot,
           placement_kind::decode, placement_kind::prefill_and_decode}) {
         ++number;
         text += titled(
