--- a/libs/mintknotd-platform/policy/src/retry_allowance.cpp
+++ b/libs/mintknotd-platform/policy/src/retry_allowance.cpp
@@ -84,7 +84,7 @@
 bool spend_retry(
     retry_allowance& allowance, const retry_bounds& bounds,
     const spend_terms& terms, base::steady_time now) {
-    if (is_large(terms.instances))
+    if (is_large_group(terms.instances))
         return spend_quota(allowance, bounds, terms, now);
     refill(allowance, bounds, terms, now);
     const retry_usage own = usage(allowance, bounds, now);
--- a/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
+++ b/libs/mintknotd-platform/relay/include/mintknot/relay/router_state.hpp
@@ -8,8 +8,8 @@
 #include <mintknot/policy/access.hpp>
 #include <mintknot/policy/admission.hpp>
 #include <mintknot/policy/phase_demand.hpp>
+#include <mintknot/policy/retry_after.hpp>
 #include <mintknot/policy/retry_allowance.hpp>
-#include <mintknot/policy/return_time.hpp>
 #include <mintknot/policy/selection.hpp>
 #include <mintknot/policy/server_health.hpp>
 #include <mintknot/relay/crash_guard.hpp>
@@ -84,7 +84,7 @@
     std::optional<base::steady_time> server_table_confirmed;
     traffic::load_view loads;
     policy::health_view health;
-    policy::read_rates prefill_rates;
+    policy::prefill_rates prefill_rates;
     std::unordered_map<std::string, policy::phase_demand> demands;
     std::unordered_map<std::string, peer_demand> demands_of_peers; ///< By host.
     std::unordered_map<std::string, policy::retry_allowance> retry_allowances;
@@ -99,7 +99,7 @@
     base::milliseconds grace{8000}; ///< Grace period, from `stop_began`.
     std::unordered_map<std::string, policy::longest_deadline>
         deadlines; ///< By route.
-    std::unordered_map<std::string, policy::return_schedule>
+    std::unordered_map<std::string, policy::retry_after_schedule>
         retry_after_schedules; ///< By service.
     std::unordered_map<std::string, peer_waiting>
         waiting_of_peers; ///< By host.
--- a/libs/mintknotd-platform/relay/src/exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/exchange.cpp
@@ -139,7 +139,7 @@
     if (found.what == policy::access_verdict::stale_configuration) {
         refuse(
             status_unavailable, "old_knowledge",
-            policy::return_after_entry_refusal);
+            policy::entry_refusal_retry_after);
         return false;
     }
     const bool same = found.organisation != nullptr &&
@@ -187,7 +187,7 @@
 }
 
 void exchange::give_up(std::string_view reason) {
-    give_up(reason, policy::default_return);
+    give_up(reason, policy::default_retry_after);
 }
 
 void exchange::give_up(
@@ -258,7 +258,7 @@
 bool exchange::is_caller_retry() const {
     const auto found = context_.state.deadlines.find(route_.name);
     return found != context_.state.deadlines.end() &&
-           policy::has_returned(found->second, request_.terms.deadline);
+           policy::was_refused_before(found->second, request_.terms.deadline);
 }
 
 void exchange::end_answer(std::string_view outcome) {
--- a/libs/mintknotd-platform/relay/src/generation_decode.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_decode.cpp
@@ -38,7 +38,7 @@
         return;
     if (!prepay(policy::retries_to_prepay(charges_, 1))) {
         apply_step(policy::after_allowance_spent(
-            attempts_, policy::is_large(context_.state.instances)));
+            attempts_, policy::is_large_group(context_.state.instances)));
         return;
     }
     decode_.used_result = result_usable();
@@ -150,7 +150,7 @@
         return std::chrono::duration_cast<base::milliseconds>(now - from);
     };
     policy::phase_demand& demand = context_.state.demands[service_.name];
-    policy::note_start(demand, since(decode_.placed_at));
+    policy::note_first_event(demand, since(decode_.placed_at));
     if (decode_.used_result)
         policy::note_hand_over(demand, since(decode_.started_at));
 }
--- a/libs/mintknotd-platform/relay/src/generation_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_exchange.cpp
@@ -67,10 +67,10 @@
                                : policy::placement_kind::decode;
     needs.prompt_tokens = request_.terms.prompt_tokens;
     needs.memory_tokens = memory_needed();
-    needs.read_limit = policy::prefill_time_limit(
+    needs.max_prefill_time = policy::prefill_time_limit(
         route_.target_latency, since_arrival(),
-        policy::mean_hand_over(context_.state.demands[service_.name]));
-    needs.may_return = policy::may_reuse_tried_engine(attempts_);
+        policy::mean_hand_over_time(context_.state.demands[service_.name]));
+    needs.may_reuse_excluded = policy::may_reuse_tried_engine(attempts_);
     needs.excluded = decode_.tried;
     needs.excluded_prefill = prefill_.tried;
     return needs;
@@ -87,7 +87,7 @@
     const traffic::server* decode =
         traffic::find(context_.state.servers, placed.server);
     if (decode == nullptr || !may_send_to(context_, *decode)) {
-        policy::room_summary seen = placed.room;
+        policy::capacity_summary seen = placed.capacity;
         // The scheduler does not know yet that the engine takes no new
         // requests; it will choose another one shortly.
         if (!placed.server.empty())
@@ -101,7 +101,7 @@
         place();
         return;
     }
-    placed_by_ = placed.by;
+    placed_by_ = placed.scheduler_host;
     decode_.server = decode->id;
     decode_.reserved_tokens = memory_needed();
     decode_.placed_at = context_.loop.now();
@@ -132,10 +132,11 @@
     return true;
 }
 
-void generation_exchange::wait_for_capacity(const policy::room_summary& seen) {
+void generation_exchange::wait_for_capacity(
+    const policy::capacity_summary& seen) {
     const auto expected = expected_wait(seen.forecast);
     const base::milliseconds start =
-        policy::mean_start(context_.state.demands[service_.name]);
+        policy::mean_first_event_time(context_.state.demands[service_.name]);
     const policy::unplaced_request unplaced = describe_unplaced();
     // A stream that has begun waits even if no capacity is predicted in time.
     if (attempts_.answer_begun ||
@@ -151,8 +152,8 @@
     const policy::unplaced_request unplaced = describe_unplaced();
     if (attempts_.answer_begun ||
         policy::should_wait(
-            unplaced, policy::unreachable_pause, base::milliseconds{0})) {
-        wait_timer_.start(policy::unreachable_pause, [this] { place(); });
+            unplaced, policy::unreachable_retry_delay, base::milliseconds{0})) {
+        wait_timer_.start(policy::unreachable_retry_delay, [this] { place(); });
         return;
     }
     give_up("server_unreachable", outage_retry_after(context_, service_.name));
@@ -163,7 +164,8 @@
     unplaced.waited = since_arrival();
     unplaced.target = route_.target_latency;
     const base::milliseconds until_caller_leaves =
-        policy::first_event_patience(route_.target_latency, route_.target_gap) -
+        policy::caller_first_event_timeout(
+            route_.target_latency, route_.target_gap) -
         since_arrival();
     unplaced.time_left = std::min(time_left(), until_caller_leaves);
     unplaced.begun = attempts_.prefills > 0 || attempts_.runs > 0;
@@ -175,7 +177,7 @@
 }
 
 std::optional<base::milliseconds> generation_exchange::expected_wait(
-    const policy::room_forecast& forecast) const {
+    const policy::capacity_forecast& forecast) const {
     const double ahead =
         context_.queue.tokens_ahead(service_.name, rank(false)) +
         peer_tokens_ahead(context_.state, service_.name, context_.loop.now());
@@ -188,18 +190,18 @@
 }
 
 base::milliseconds generation_exchange::retry_after(
-    const policy::room_forecast& forecast,
+    const policy::capacity_forecast& forecast,
     std::optional<base::milliseconds> expected) {
     if (const auto limited = limited_retry_after(context_, service_.name))
         return *limited;
-    return policy::schedule_return(
+    return policy::schedule_retry_after(
         context_.state.retry_after_schedules[service_.name],
         {forecast, expected, memory_needed(), context_.state.instances},
         context_.loop.now());
 }
 
 void generation_exchange::log_no_capacity(
-    const policy::room_summary& room,
+    const policy::capacity_summary& room,
     std::optional<base::milliseconds> expected) {
     context_.log.write(
         "no_room",
@@ -207,7 +209,7 @@
          {"needs", memory_needed()},
          {"engines", std::int64_t{room.engines}},
          {"avoided", std::int64_t{room.avoided}},
-         {"most_room", room.max_room},
+         {"most_room", room.max_free_tokens},
          {"peers",
           static_cast<std::int64_t>(context_.state.loads.peers.size())},
          {"expected_wait_ms", expected.value_or(unknown_wait).count()},
--- a/libs/mintknotd-platform/relay/src/generation_exchange.hpp
+++ b/libs/mintknotd-platform/relay/src/generation_exchange.hpp
@@ -79,7 +79,7 @@
     bool exclude_leaving_prefill(const policy::placement& placed);
     /// Joins the wait queue, or refuses the request if waiting is not worth it.
     /// @param seen the free capacity of the engines, from the last placement.
-    void wait_for_capacity(const policy::room_summary& seen);
+    void wait_for_capacity(const policy::capacity_summary& seen);
     /// Pauses before the next placement, or refuses the request: engines exist,
     /// but too many connections in a row have failed.
     void wait_for_connection();
@@ -88,14 +88,14 @@
     /// @return the expected wait behind all requests ahead in the queues; empty
     /// if it cannot be predicted.
     std::optional<base::milliseconds>
-    expected_wait(const policy::room_forecast& forecast) const;
+    expected_wait(const policy::capacity_forecast& forecast) const;
     void join_queue(bool late);
     /// @return when a caller that is refused for lack of capacity may retry.
     base::milliseconds retry_after(
-        const policy::room_forecast& forecast,
+        const policy::capacity_forecast& forecast,
         std::optional<base::milliseconds> expected);
     void log_no_capacity(
-        const policy::room_summary& seen,
+        const policy::capacity_summary& seen,
         std::optional<base::milliseconds> expected);
     /// @return true if a kept prefill result can still be handed over.
     bool result_usable() const;
--- a/libs/mintknotd-platform/relay/src/generation_prefill.cpp
+++ b/libs/mintknotd-platform/relay/src/generation_prefill.cpp
@@ -18,7 +18,7 @@
     const traffic::server& engine, double ahead) {
     const double tokens = request_.terms.prompt_tokens;
     prefill_.tokens_ahead = ahead;
-    prefill_.expected = policy::read_time(
+    prefill_.expected = policy::prefill_time(
         context_.state.prefill_rates, engine.id, ahead + tokens);
     prefill_.server = engine.id;
     prefill_.tried.insert(engine.id);
@@ -105,11 +105,11 @@
 
 void generation_exchange::record_prefill_time(base::milliseconds duration) {
     const double tokens = request_.terms.prompt_tokens;
-    policy::note_read(
+    policy::note_prefill(
         context_.state.prefill_rates, prefill_.server,
         tokens + prefill_.tokens_ahead, duration);
     if (prefill_.tokens_ahead <= 0.0)
-        policy::note_read_alone(
+        policy::note_uncontended_prefill(
             context_.state.demands[service_.name], tokens, duration);
 }
 
@@ -118,8 +118,8 @@
     kept_.handle = result.handle;
     kept_.location =
         context_.protocol.result_location(kept_.location, result.handle);
-    kept_.expires_at =
-        context_.loop.now() + policy::usable_life(service_.engine->handle_life);
+    kept_.expires_at = context_.loop.now() +
+                       policy::hand_over_window(service_.engine->handle_life);
 }
 
 void generation_exchange::on_prefill_failure(upstream::call_failure why) {
--- a/libs/mintknotd-platform/relay/src/plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/src/plain_exchange.cpp
@@ -69,7 +69,7 @@
     else if (chosen == nullptr || unavailable)
         apply_step(next_step(policy::call_end::no_server));
     else if (ensure_allowed())
-        send(*chosen, placed.by);
+        send(*chosen, placed.scheduler_host);
 }
 
 void plain_exchange::send(
--- a/libs/mintknotd-platform/relay/src/router_state.cpp
+++ b/libs/mintknotd-platform/relay/src/router_state.cpp
@@ -66,7 +66,7 @@
     policy::call_result result, const std::string& request_id) {
     context.metrics.count_call(result);
     const base::steady_time now = context.loop.now();
-    if (!policy::note(context.state.health, server_id, result, now))
+    if (!policy::note_call_result(context.state.health, server_id, result, now))
         return;
     const auto left = base::time_left(
         policy::avoided_until(context.state.health, server_id), now);
@@ -95,7 +95,7 @@
     for (const auto& [peer, reported] : state.retries_of_peers) {
         if (now - reported.received_at > state.retry_bounds.window)
             continue;
-        if (now - reported.received_at <= policy::peer_life)
+        if (now - reported.received_at <= policy::peer_lifetime)
             ++fleet.heard;
         const auto found = reported.by_service.find(service);
         if (found == reported.by_service.end())
@@ -128,7 +128,7 @@
             now - reported.received_at <= traffic::load_life)
             sum += found->second;
     }
-    return sum * policy::elsewhere_share_ahead;
+    return sum * policy::peer_share_ahead;
 }
 
 policy::phase_demand group_demand(
@@ -174,7 +174,7 @@
     const double share =
         rate /
         static_cast<double>(std::max<std::size_t>(context.state.instances, 1));
-    return policy::schedule_limited_return(
+    return policy::schedule_limited_retry_after(
         context.state.retry_after_schedules[service], *shortest_wait, share,
         now);
 }
@@ -193,7 +193,7 @@
         context.state.health,
         traffic::open_servers(context.state.servers, service),
         context.loop.now());
-    return policy::return_after_outage(age);
+    return policy::outage_retry_after(age);
 }
 
 policy::spend_terms
@@ -202,7 +202,7 @@
     // Large groups do not use the peers' usage (retry_quota.hpp), so the sum
     // over all peers is not computed for them.
     const policy::fleet_usage fleet =
-        policy::is_large(instances)
+        policy::is_large_group(instances)
             ? policy::fleet_usage{}
             : fleet_usage_of(context.state, service, context.loop.now());
     return {instances, fleet, context.state.started};
@@ -251,7 +251,7 @@
         return context.placement->request_placement(std::move(query), then);
     policy::selection_inputs inputs = make_selection_inputs(context, target);
     inputs.connected = &query.connected;
-    const policy::placement placed = policy::choose(inputs, query);
+    const policy::placement placed = policy::choose_servers(inputs, query);
     policy::charge_placement(
         context.state.health.limits, context.state.servers, target.name, placed,
         context.loop.now());
@@ -272,7 +272,8 @@
         context.state.instances,
         context.loop.now(),
         [&context] { return context.draw_uniform(); }};
-    inputs.mean_hold = policy::mean_hold(context.state.demands[target.name]);
+    inputs.mean_hold_time =
+        policy::mean_hold_time(context.state.demands[target.name]);
     return inputs;
 }
 
--- a/libs/mintknotd-platform/relay/tests/test_plain_exchange.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_plain_exchange.cpp
@@ -110,7 +110,7 @@
 Test(plain_exchange, retry_after_grows_with_the_age_of_an_outage) {
     relay_fixture f;
     f.add_dead_server("i1", "app");
-    policy::note(
+    policy::note_call_result(
         f.context.state.health, "i1", policy::call_result::good,
         f.owner.now() - std::chrono::seconds(3));
     const caller_view seen = f.ask(request("/unsafe/x"));
--- a/libs/mintknotd-platform/scheduling/src/load_reporter.cpp
+++ b/libs/mintknotd-platform/scheduling/src/load_reporter.cpp
@@ -122,7 +122,7 @@
 void load_reporter::add_results(pending_report_map& reports) {
     const scheduler_cache hosts(context_, directory_);
     for (const auto& [id, counts] :
-         policy::take_untold(context_.state.health)) {
+         policy::take_unreported(context_.state.health)) {
         const std::string& host = hosts.of(id).active;
         if (host.empty() || host == callbacks_.own_host)
             continue;
@@ -144,10 +144,10 @@
     if (reports.empty())
         return;
     std::vector<observed_rate> rates;
-    for (const std::string& id : context_.state.prefill_rates.fresh)
+    for (const std::string& id : context_.state.prefill_rates.unreported)
         rates.push_back(
-            {id, policy::rate_of(context_.state.prefill_rates, id)});
-    context_.state.prefill_rates.fresh.clear();
+            {id, policy::prefill_rate_of(context_.state.prefill_rates, id)});
+    context_.state.prefill_rates.unreported.clear();
     for (auto& [host, entry] : reports) {
         entry.report.avoided = warnings;
         entry.report.rates = rates;
--- a/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
+++ b/libs/mintknotd-platform/scheduling/src/remote_placer.cpp
@@ -28,7 +28,7 @@
     policy::placement_query query;
     relay::placement_handler then;
     std::vector<policy::domain> remaining_domains; ///< The current one first.
-    policy::room_summary
+    policy::capacity_summary
         capacity_seen;      ///< Sum of the domains that had no capacity.
     std::string asked_host; ///< The scheduler whose answer is awaited.
     int tries = 0;          ///< In the current domain.
@@ -57,7 +57,7 @@
             context.state.servers, query.service, context.options.data_centre);
         if (query.kind == policy::placement_kind::plain &&
             entry->remaining_domains.size() > 1)
-            query.kind = policy::placement_kind::plain_with_room;
+            query.kind = policy::placement_kind::plain_with_free_slot;
         policy::exclude_avoided(
             query, context.state.servers, context.state.health, now());
         policy::exclude_unavailable(
@@ -82,7 +82,7 @@
         pending_placement& entry = *found->second;
         if (entry.remaining_domains.empty()) {
             policy::placement placed = place_anywhere(entry.query);
-            placed.room = entry.capacity_seen;
+            placed.capacity = entry.capacity_seen;
             finish(number, placed);
             return;
         }
@@ -129,7 +129,7 @@
         const bool last_domain =
             !holds_rows() && entry.remaining_domains.size() == 1;
         if (last_domain &&
-            request.query.kind == policy::placement_kind::plain_with_room)
+            request.query.kind == policy::placement_kind::plain_with_free_slot)
             request.query.kind = policy::placement_kind::plain;
         return request;
     }
@@ -143,12 +143,13 @@
             finish(number, placed);
             return;
         }
-        entry.capacity_seen.engines += placed.room.engines;
-        entry.capacity_seen.avoided += placed.room.avoided;
-        entry.capacity_seen.max_room =
-            std::max(entry.capacity_seen.max_room, placed.room.max_room);
-        entry.capacity_seen.forecast =
-            policy::joined(entry.capacity_seen.forecast, placed.room.forecast);
+        entry.capacity_seen.engines += placed.capacity.engines;
+        entry.capacity_seen.avoided += placed.capacity.avoided;
+        entry.capacity_seen.max_free_tokens = std::max(
+            entry.capacity_seen.max_free_tokens,
+            placed.capacity.max_free_tokens);
+        entry.capacity_seen.forecast = policy::merge_forecasts(
+            entry.capacity_seen.forecast, placed.capacity.forecast);
         entry.remaining_domains.erase(entry.remaining_domains.begin());
         entry.tries = 0;
         ask_next(number);
@@ -164,7 +165,7 @@
     /// Places a request for which no domain has free capacity. Plain servers
     /// queue requests, so one of them takes it all the same.
     policy::placement place_anywhere(const policy::placement_query& query) {
-        if (query.kind != policy::placement_kind::plain_with_room)
+        if (query.kind != policy::placement_kind::plain_with_free_slot)
             return {};
         policy::placement_query anywhere = query;
         anywhere.kind = policy::placement_kind::plain;
@@ -185,7 +186,7 @@
         inputs.own_data_centre = query.data_centre;
         inputs.all_loads_known = is_scheduler;
         inputs.connected = &query.connected;
-        policy::placement placed = policy::choose(inputs, query);
+        policy::placement placed = policy::choose_servers(inputs, query);
         policy::charge_placement(
             context.state.health.limits, context.state.servers, query.service,
             placed, now());
@@ -238,7 +239,7 @@
             traffic::note_named(context.state.servers, named);
         if (answer.knows_service) {
             policy::placement placed = answer.placed;
-            placed.by = host;
+            placed.scheduler_host = host;
             if (!placed.server.empty())
                 reporter.placed_by(host);
             apply_placement(answer.number, placed);
@@ -254,11 +255,11 @@
     void on_message(const std::string& host, const load_report& report) {
         traffic::set_peer(context.state.loads, host, report.loads, now());
         for (const policy::server_warning& server : report.avoided)
-            policy::warn(
+            policy::note_peer_warning(
                 context.state.health, server.server_id, now() + server.left,
                 now());
         for (const observed_rate& observed : report.rates)
-            policy::note_rate(
+            policy::note_prefill_rate(
                 context.state.prefill_rates, observed.id, observed.rate);
         policy::note_peer_results(context.state.health, report.results, now());
     }
