--- a/libs/mintknotd-platform/policy/include/mintknot/policy/access.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/access.hpp
@@ -1,12 +1,12 @@
 /// @file
-/// Whether a caller's key lets its request in.
+/// Authorization of requests by API key.
 ///
-/// Inputs: the organisations of the configuration in force, the key as it was
-/// received, and how old the knowledge is that no newer configuration exists.
-/// A key may have been taken away since then: where keys must lapse within a
-/// bound everywhere, an instance that has not heard of the store for so long
-/// runs nothing that needs a key. Refusals of this file promise that nothing
-/// has run. Log events: `refused`, `given_up` with `unknown_key`,
+/// Inputs: the organisations of the active configuration, the key as received,
+/// and the time since the configuration was last confirmed as the latest. A key
+/// may have been revoked since then. If revocations must take effect within a
+/// bound, an instance that has been without contact to the store for that long
+/// refuses all requests that need a key. A request refused here has not been
+/// executed. Log events: `refused`, `given_up` with `unknown_key`,
 /// `old_knowledge`.
 #ifndef MINTKNOT_POLICY_ACCESS_HPP
 #define MINTKNOT_POLICY_ACCESS_HPP
@@ -19,39 +19,40 @@
 
 namespace mintknot::policy {
 
-/// Between the last moment at which old knowledge lets a request in and the
-/// bound: for the way of the request to its server, and for clocks that run at
-/// slightly different rates.
+/// Safety margin below the revocation bound. Covers the transfer of a request
+/// to its server and clocks that run at slightly different rates.
 inline constexpr base::milliseconds staleness_margin{100};
 
-/// How old the knowledge of the configuration is, and may be.
+/// Age of the configuration on this instance, and the limit for it.
 struct configuration_freshness {
-    /// Since the last moment at which nothing newer existed; nothing: there has
-    /// never been one.
+    /// Time since the configuration was last known to be the latest; empty if
+    /// it never was.
     std::optional<base::milliseconds> age;
-    /// Within which a key that was taken away lapses everywhere; nothing: there
-    /// is no such bound, and knowledge of any age will do.
+    /// Time within which a key revocation must take effect on all instances;
+    /// empty if there is no such bound, so that any age is accepted.
     std::optional<base::milliseconds> revocation_bound;
 };
 
-/// @return true if a key that is found in the configuration may still be good.
+/// @return true if the configuration is recent enough to accept a key that it
+/// lists.
 bool is_fresh(const configuration_freshness& freshness);
 
-/// What a key opens.
+/// Result of a key check.
 enum class access_verdict {
-    granted,            ///< Also without an organisation, where none is needed.
-    unknown_key,        ///< There is no key, or nobody holds it.
-    stale_configuration ///< It cannot be told at present.
+    granted,            ///< Allowed, possibly without an organisation.
+    unknown_key,        ///< No key was sent, or no organisation has this key.
+    stale_configuration ///< The configuration is too old to check the key.
 };
 
 struct access_decision {
     access_verdict what = access_verdict::granted;
-    const traffic::organisation* organisation = nullptr; ///< Null: nobody.
+    const traffic::organisation* organisation = nullptr; ///< Null: anonymous.
 };
 
-/// @param organisations null: no key is needed anywhere.
-/// @param open_to_all whether the route needs none. A key that is known there
-/// still tells whose request it is.
+/// Checks whether a request with this key is allowed.
+/// @param organisations null if no route needs a key.
+/// @param open_to_all true if the route needs no key. A valid key still
+/// attributes the request to its organisation.
 access_decision check_access(
     const traffic::organisation_table* organisations, bool open_to_all,
     const std::optional<std::string>& key,
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/answer_timeout.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/answer_timeout.hpp
@@ -1,11 +1,12 @@
 /// @file
-/// How long another instance has for an answer before another one is asked.
+/// Adaptive timeouts for queries to peer instances.
 ///
-/// Inputs: how long its answers have taken, also those that came too late. With
-/// 30 ms for all, instances of other regions, 20 ms away, were taken for silent
-/// 6,643 times on a day without trouble (67 instances in three regions): plain
-/// calls were then placed 60 ms late by old loads, and streams that found no
-/// room nearby waited through each region in turn.
+/// Inputs: the response times of each peer, including answers that arrived
+/// after the timeout. With a fixed timeout of 30 ms, instances in other regions
+/// (20 ms away) were treated as unresponsive 6,643 times in a day without
+/// faults (67 instances in three regions). Plain calls were then placed 60 ms
+/// late and by outdated loads, and streams without local capacity waited for a
+/// timeout in each region in turn.
 #ifndef MINTKNOT_POLICY_ANSWER_TIMEOUT_HPP
 #define MINTKNOT_POLICY_ANSWER_TIMEOUT_HPP
 
@@ -16,26 +17,26 @@
 
 namespace mintknot::policy {
 
-/// Of the instances that are asked, by host.
+/// Response times of the queried instances, by host.
 struct answer_times {
     struct host_times {
-        base::milliseconds round_trip{0}; ///< Of the slowest ones lately.
-        base::steady_time sent_at{};      ///< The last question.
+        base::milliseconds round_trip{0}; ///< Decaying maximum.
+        base::steady_time sent_at{};      ///< Time of the latest query.
         bool awaiting_answer = false;
     };
     std::map<std::string, host_times> by_host;
 };
 
-/// A question goes out.
+/// Records that a query is sent to the host.
 void note_query_sent(
     answer_times& times, const std::string& host, base::steady_time now);
 
-/// An answer has come, in time or not.
+/// Records an answer from the host, received before or after the timeout.
 void note_answer_received(
     answer_times& times, const std::string& host, base::steady_time now);
 
-/// @param least that any instance has, however near it is.
-/// @return how long an answer from there is waited for.
+/// @param min_timeout lower bound of the timeout.
+/// @return how long to wait for an answer from the host.
 base::milliseconds answer_timeout(
     const answer_times& times, const std::string& host,
     base::milliseconds min_timeout);
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/attempts.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/attempts.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// Whether a request is sent again, goes on elsewhere or is given up.
+/// Decides whether a request is retried, resumed on another engine or ended.
 ///
-/// An exchange counts its calls in a struct of this file and asks after each
-/// call what comes next; it carries out the answer and takes its reason for
-/// the log line, the metric and the refusal alike. Nothing here does I/O.
+/// An exchange counts its calls in `attempts` and asks for the next step after
+/// each call. It carries out that step and uses the reason of the step in the
+/// log line, the metric and the refusal. This file performs no I/O.
 #ifndef MINTKNOT_POLICY_ATTEMPTS_HPP
 #define MINTKNOT_POLICY_ATTEMPTS_HPP
 
@@ -15,102 +15,103 @@
 
 namespace mintknot::policy {
 
-/// How a call to a server has ended, as far as the next step depends on it.
+/// Outcome of a call to a server, as needed to choose the next step.
 enum class call_end {
-    answered,       ///< A proper answer.
-    server_failure, ///< A proper answer that says that the server has failed;
-                    ///< from a decode engine, any that is no stream.
-    bad_answer,     ///< A whole answer that cannot be passed on.
-    rejected,       ///< The server says that it has not run the request.
-    unreachable,    ///< No connection came up; nothing was sent.
-    broken_off,     ///< The connection ended before the answer did.
-    silent,         ///< Still open, but silent for longer than expected.
-    no_server,      ///< No call was made: no server takes requests.
+    answered,       ///< A valid answer.
+    server_failure, ///< A valid answer that reports a server error; from a
+                    ///< decode engine, any answer that is not a stream.
+    bad_answer,     ///< A complete answer that cannot be forwarded.
+    rejected,       ///< The server reports that it did not run the request.
+    unreachable,    ///< The connection failed; nothing was sent.
+    broken_off,     ///< The connection closed before the answer was complete.
+    silent,         ///< Still open, but no data for longer than expected.
+    no_server,      ///< No call was made, as no server accepts requests.
 };
 
 /// What an exchange does next.
 enum class action {
-    deliver,      ///< Pass the answer at hand on and end.
-    send_again,   ///< Choose another server and send.
-    resume,       ///< Choose another engine and go on behind the last event.
-    pause,        ///< Wait a moment, then choose again.
-    await_loan,   ///< Wait loan_pause for repeats of peers, then choose again.
-    keep_waiting, ///< Leave the call as it is.
-    give_up,      ///< Answer with the reason; the verdict decides the status.
-    break_off,    ///< The answer has begun: end it visibly incomplete.
+    deliver,      ///< Forward the received answer and end.
+    send_again,   ///< Choose another server and send the request to it.
+    resume,       ///< Choose another engine and continue after the last event.
+    pause,        ///< Wait briefly, then choose again.
+    await_loan,   ///< Wait loan_pause for retries lent by peers, then choose.
+    keep_waiting, ///< Keep waiting for the current call.
+    give_up,      ///< Refuse with the reason; the verdict decides the status.
+    break_off,    ///< End an answer that has begun, recognizably incomplete.
 };
 
-/// The next step and why.
+/// The next step of a request and the reason for it.
 struct next_step {
     action what = action::give_up;
-    /// Code in log lines, metrics and refusals; refers to static text.
+    /// Code in log lines, metrics and refusals; points to static storage.
     std::string_view reason;
-    /// The step costs one repeat of the allowance. Where that is spent,
-    /// `otherwise` is done instead, for `otherwise_reason`.
+    /// The step consumes one retry of the allowance. If none is left,
+    /// `otherwise` is done instead, with `otherwise_reason`.
     bool costs_retry = false;
     action otherwise = action::give_up;
     std::string_view otherwise_reason;
-    /// For give_up: no server was within reach. The caller is told to come back
-    /// after as long as the outage has lasted (return_time.hpp).
+    /// For give_up: no server was reachable. The caller is told to retry after
+    /// a time equal to the duration of the outage so far.
     bool server_out_of_reach = false;
 };
 
-/// What has become of one request so far. Counts include the call that has
-/// just ended.
+/// Calls made for one request so far, including the one that has just ended.
 struct attempts {
-    int runs = 0;              ///< Calls that a server may have run.
-    int rejections = 0;        ///< Calls that servers turned away.
-    int unreachable = 0;       ///< Connections that did not come up.
-    int prefills = 0;          ///< Prefill calls; plain requests have none.
-    int loan_waits = 0;        ///< Pauses for repeats that peers may lend.
-    bool answer_begun = false; ///< The caller has got a part of an answer.
+    int runs = 0;              ///< Calls that a server may have executed.
+    int rejections = 0;        ///< Calls that servers rejected.
+    int unreachable = 0;       ///< Connections that failed.
+    int prefills = 0;          ///< Prefill calls; zero for plain requests.
+    int loan_waits = 0;        ///< Waits for retries lent by peers.
+    bool answer_begun = false; ///< Part of an answer was sent to the caller.
 };
 
-/// How long a request waits for repeats that peers may lend: some times the way
-/// there and back between data centres.
+/// How long a request waits for retries lent by peers: several round trips
+/// between data centres.
 inline constexpr base::milliseconds loan_pause{15};
 
-/// @return true if the request may run on one more server although it may have
-/// run on one: the route allows it and its attempts are not used up.
+/// @return true if the request may run on another server even if one may have
+/// executed it already: the route allows it and has attempts left.
 bool may_run_again(const traffic::route& route, const attempts& so_far);
 
-/// The state of a plain request beside its counts.
+/// State of a plain request after a call, in addition to its counts.
 struct plain_call_state {
     base::verdict verdict = base::verdict::not_run;
-    bool says_not_executed = false; ///< The last answer, if any came.
+    bool says_not_executed = false; ///< Stated by the latest answer.
     base::milliseconds time_left{0};
 };
 
-/// The next step of a plain request. Its calls are repeated where nothing has
-/// run, or where the route lets a request run twice; a server's own failure is
-/// delivered where it cannot be mended.
+/// @return the next step of a plain request. It is retried if no server has
+/// executed it or the route allows it to run twice. A server error is forwarded
+/// to the caller if it cannot be retried.
 /// Log events: `sent`, `given_up`, `broken_off`.
 next_step after_plain_call(
     call_end end, const traffic::route& route, const attempts& so_far,
     const plain_call_state& state);
 
-/// The next step of a generation request after its decode call. What an engine
-/// rejects is placed again; a resumable stream goes on elsewhere; any other
-/// that may have run ends. Precondition: the call has gone wrong. A stream that
-/// is whole needs no rule, and want of room is decided in admission.hpp.
+/// @return the next step of a generation request after its decode call. A
+/// rejected request is placed again; a resumable stream continues on another
+/// engine; any other request that may have run is ended. Precondition: the call
+/// has failed. Missing capacity is handled in admission.hpp.
 /// Log events: `decode_rejected`, `resumed`, `given_up`, `broken_off`.
 next_step after_decode_call(
     call_end end, const traffic::route& route, const attempts& so_far);
 
-/// The next step of a generation request whose next call the allowance does not
-/// cover. @param may_borrow whether peers have been asked for repeats.
+/// @return the next step of a generation request that needs a retry when the
+/// allowance is spent.
+/// @param may_borrow true if peers have been asked to lend retries.
 next_step after_allowance_spent(const attempts& so_far, bool may_borrow);
 
-/// @return true if a prompt is to be read by a prefill engine: no result is
-/// kept, prefills are left, and decode engines have not rejected the request
-/// twice. A second rejection points at the result rather than at the engines.
+/// @return true if the prompt is to be processed by a prefill engine: no
+/// prefill result is kept, prefills are left, and the result is not suspect.
 bool needs_separate_prefill(const attempts& so_far, bool result_kept);
 
-/// @return true if a kept result is not to be handed over any more.
+/// @return true if a kept prefill result must not be used any more: decode
+/// engines have rejected the request twice, which points at the result as the
+/// cause rather than at the engines.
 bool is_result_suspect(const attempts& so_far);
 
-/// @return true if a decode engine that has been tried may be chosen again
-/// where there is no other: none has rejected the request yet.
+/// @return true if an already tried decode engine may be chosen again when
+/// there is no other one: no engine has rejected the request.
 bool may_reuse_tried_engine(const attempts& so_far);
 
 } // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/call_charges.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/call_charges.hpp
@@ -1,11 +1,12 @@
 /// @file
-/// Which calls of a generation request cost a repeat of the allowance.
+/// Decides which calls of a generation request consume a retry.
 ///
-/// The bound of the settings counts the calls that arrive at servers for one
-/// request: the first is free, each further one is a repeat. The prefill that
-/// is taken up by an engine does not count. A decode is paid for before its
-/// prefill is sent: else a prompt would be read whose answer may not be asked
-/// for. Log event: `given_up` with the reason `retry_allowance_spent`.
+/// The configured bound counts the calls of a request that reach servers: the
+/// first is free, each further one is a retry. One prefill that an engine has
+/// executed does not count. The retry for a decode is reserved before its
+/// prefill is sent; otherwise a prompt could be processed without a retry left
+/// for the decode. Log event: `given_up` with the reason
+/// `retry_allowance_spent`.
 #ifndef MINTKNOT_POLICY_CALL_CHARGES_HPP
 #define MINTKNOT_POLICY_CALL_CHARGES_HPP
 
@@ -13,27 +14,28 @@
 
 namespace mintknot::policy {
 
-/// The calls of one generation request, as far as they are charged.
+/// Accounting of the calls of one generation request.
 struct call_charges {
-    int arrivals = 0; ///< Calls that count, or may count still.
-    int prepaid = 0;  ///< Repeats taken from the allowance and not used yet.
-    bool prefill_executed = false; ///< An engine has worked on a prefill.
+    int arrivals = 0; ///< Calls that count or may still count.
+    int prepaid = 0;  ///< Retries taken from the allowance but not yet used.
+    bool prefill_executed = false; ///< An engine has executed a prefill.
 };
 
-/// Calls that are planned when a prefill is sent: it and the decode.
+/// Number of calls planned when a prefill is sent: the prefill and the decode.
 inline constexpr int calls_with_prefill = 2;
 
-/// @return how many repeats must stand prepaid, those counted in that are, so
-/// that the first of so many calls may be sent.
+/// @return the value that `call_charges::prepaid` must have before the first of
+/// `calls` planned calls may be sent.
 int retries_to_prepay(const call_charges& charges, int calls);
 
-/// A call goes out. Precondition: repeats_to_prepay() have been prepaid.
+/// Records that a call is sent. Precondition: retries_to_prepay() retries have
+/// been prepaid.
 void note_sent(call_charges& charges);
 
-/// A prefill has ended with that result.
+/// Records the result of a prefill.
 void note_prefill_end(call_charges& charges, call_result result);
 
-/// No connection came up for a decode: it has not arrived anywhere.
+/// Records that the connection for a decode failed, so that it does not count.
 void note_decode_unreachable(call_charges& charges);
 
 } // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/crash_evidence.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/crash_evidence.hpp
@@ -1,19 +1,21 @@
 /// @file
-/// Which requests crash the servers that run them, and are therefore refused.
+/// Detects requests that crash the servers that run them and blocks them.
 ///
-/// A request is known by its digest (relay/request_digest.hpp), whatever its ID
-/// and the instance that it comes to. Whenever a server has ended without a
-/// word, each instance tells which requests it had running there; some
-/// instances put this together (group.hpp, judges_of_crashes()). A request
-/// under which three servers have ended is refused everywhere for a while.
+/// A request is identified by its digest (relay/request_digest.hpp), regardless
+/// of its ID and of the instance that received it. When a server terminates
+/// without notice, each instance reports the requests it had running there, and
+/// a few instances collect the reports (group.hpp). A request that was running
+/// in three such crashes is refused by all instances for a while.
 ///
-/// Others that ran beside it look like it. What tells them apart: they get
-/// whole answers elsewhere, which clears them; ends that they have seen are put
-/// down to a request with as many ends and shorter runs, as a crash comes soon
-/// after the start of its cause; and only ends that followed each other count.
-/// Where many servers end at once, what ran on all of them was there before,
-/// while a request that ends one after the other begins anew each time. What
-/// was sent to a server that had ended already is not to blame for that.
+/// Requests that ran beside the cause are told apart as follows:
+/// - A complete answer from another server clears a request.
+/// - A crash is attributed to another request that has as many crashes and
+///   shorter runs, as a crash follows soon after the start of its cause.
+/// - Only consecutive crashes count: the run must have begun after the previous
+///   crash. If many servers terminate at once, the requests that ran on all of
+///   them had been running before, while a request that causes the crashes is
+///   sent anew after each.
+/// - A request sent to a server that had already terminated is not counted.
 ///
 /// Log events: `server_ended`, `request_blocked`, `request_cleared`, `given_up`
 /// with `crashes_servers`.
@@ -31,109 +33,116 @@
 
 namespace mintknot::policy {
 
-/// Servers that end under a request before it is refused.
+/// Number of server crashes after which a request is blocked.
 inline constexpr std::size_t max_crashes = 3;
 
-/// Within this time all instances have told what they had running on a server
-/// that has ended.
+/// Time within which all instances have reported the requests that they had
+/// running on a crashed server.
 inline constexpr base::milliseconds crash_report_time{200};
 
-/// For how long a request is refused at first. Then it is tried again; each
-/// further crash doubles the time.
+/// Duration of the first block. The request is then allowed again; each further
+/// crash doubles the duration.
 inline constexpr base::milliseconds first_block_time{10 * 60 * 1000};
 
-/// Which request it is.
+/// Identifies a request by its content.
 struct request_key {
     std::string digest;
-    std::uint64_t body_bytes = 0; ///< Spares digests of bodies of other sizes.
+    std::uint64_t body_bytes = 0; ///< Lets other sizes skip the digest.
 };
 
-/// A run of a request that broke when its server ended.
+/// A run of a request that was interrupted by the crash of its server.
 struct crash_record {
-    std::string server_incarnation; ///< The server's ID and which life of it.
+    std::string server_incarnation; ///< Server ID and incarnation.
     base::steady_time began{};
     base::steady_time broke{};
 };
 
-/// A request that ran on servers that have ended.
+/// A request that was running on crashed servers.
 struct crash_suspect {
     std::uint64_t body_bytes = 0;
-    /// The first run on each server's life.
+    /// The earliest run on each server incarnation.
     std::vector<crash_record> crashes;
     base::steady_time last{};
+    /// When the request is due for evaluation; empty: it is not.
     std::optional<base::steady_time> evaluate_at;
 };
 
-/// A request that is refused.
+/// A request that is refused on all instances.
 struct blocked_request {
     std::uint64_t body_bytes = 0;
     base::steady_time until{};
-    int times = 0; ///< How often it has been blocked.
+    int times = 0; ///< Number of blocks so far.
 };
 
-/// All that is known; by digest. Bounded: the request with the fewest crashes
-/// makes room for a new one.
+/// Suspected and blocked requests, by digest. Bounded: the suspect with the
+/// fewest crashes is evicted for a new one.
 struct crash_evidence {
     std::map<std::string, crash_suspect> suspects;
-    /// When each life of a server ended, by the first run that broke.
+    /// Crash time of each server incarnation, taken from the first run that was
+    /// interrupted.
     std::map<std::string, base::steady_time> ends;
     std::map<std::string, blocked_request> blocked;
-    /// Requests that were cleared a moment ago: older news does not block them.
+    /// Recently cleared requests; delayed block notices are ignored for them.
     std::map<std::string, base::steady_time> cleared;
 };
 
-/// A block as instances tell each other of it.
+/// Block of a request as exchanged between instances.
 struct block_entry {
     request_key key;
     base::milliseconds left{0};
     int times = 0;
 };
 
-/// Takes the end of a server under a request; one end counts once.
+/// Records that a request was running when its server crashed. Reports of the
+/// same crash count once.
 void note_crash(
     crash_evidence& evidence, const request_key& key, const crash_record& crash,
     base::steady_time now);
 
-/// Judges the requests that are due. @return those that are refused from now
-/// on.
+/// Evaluates the suspects that are due and blocks those found to be the cause.
+/// @return the new blocks.
 std::vector<block_entry>
 evaluate_suspects(crash_evidence& evidence, base::steady_time now);
 
-/// @return when judge() is to be called next; nothing: no request is due.
+/// @return when evaluate_suspects() is to be called next; empty if no suspect
+/// is due.
 std::optional<base::steady_time>
 next_evaluation(const crash_evidence& evidence);
 
-/// A server has given a whole answer to the request: it is cleared.
-/// @return true if it was suspected or refused.
+/// Clears a request after a server has answered it completely.
+/// @return true if it was suspected or blocked.
 bool clear(
     crash_evidence& evidence, const std::string& digest, base::steady_time now);
 
-/// Takes the news of another instance. @return true if it is new here.
+/// Applies a block notice of another instance.
+/// @return true if the request was not blocked here before.
 bool note_block(
     crash_evidence& evidence, const block_entry& entry, base::steady_time now);
 
-/// @return true if the request was cleared so lately that news of a block of it
-/// are older.
+/// @return true if the request was cleared so recently that a block notice for
+/// it must be older than the clearing.
 bool recently_cleared(
     const crash_evidence& evidence, const std::string& digest,
     base::steady_time now);
 
-/// @return true if the digest of a request with such a body is worth making.
+/// @return true if a request with this body size may be blocked, so that its
+/// digest must be computed.
 bool may_be_blocked(
     const crash_evidence& evidence, std::uint64_t body_bytes,
     base::steady_time now);
+/// @return true if a request with this body size may be a suspect or blocked.
 bool may_be_known(const crash_evidence& evidence, std::uint64_t body_bytes);
 
-/// @return for how much longer the request is refused; nothing: it is not.
+/// @return remaining time of the block; empty if the request is not blocked.
 std::optional<base::milliseconds> blocked_for(
     const crash_evidence& evidence, const std::string& digest,
     base::steady_time now);
 
-/// @return the blocks that are in force.
+/// @return the active blocks.
 std::vector<block_entry>
 blocks(const crash_evidence& evidence, base::steady_time now);
 
-/// Drops what is long past.
+/// Removes expired entries.
 void expire(crash_evidence& evidence, base::steady_time now);
 
 } // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/entry_check.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/entry_check.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// Whether a request that has been read whole begins, and where it is routed.
+/// Decides whether a completely received request is accepted, and routes it.
 ///
-/// Inputs: the configuration in force, whether a stop is under way, the bytes
-/// of all request bodies that are open here, and what access.hpp looks at.
-/// Refusals of this file promise that nothing has run. Log event: `refused`.
+/// Inputs: the active configuration, whether the instance is stopping, the size
+/// of all open request bodies on this instance, and the inputs of access.hpp.
+/// A request refused here has not been executed. Log event: `refused`.
 #ifndef MINTKNOT_POLICY_ENTRY_CHECK_HPP
 #define MINTKNOT_POLICY_ENTRY_CHECK_HPP
 
@@ -17,36 +17,38 @@
 
 namespace mintknot::policy {
 
-/// What is looked at beside the request.
+/// State of the instance that the decision depends on.
 struct entry_conditions {
-    const traffic::configuration* config = nullptr; ///< Null: none is known.
+    const traffic::configuration* config = nullptr; ///< Null: none is loaded.
     bool stopping = false;
-    base::milliseconds since_stop{0}; ///< With `stopping`.
-    base::milliseconds grace{0};      ///< From the stop's begin to its end.
-    std::size_t open_body_bytes = 0;  ///< Of this request too.
+    base::milliseconds since_stop{0}; ///< Only with `stopping`.
+    base::milliseconds grace{0};      ///< Total duration of a stop.
+    std::size_t open_body_bytes = 0;  ///< Including this request.
     std::size_t max_body_bytes = 0;
-    configuration_freshness freshness; ///< Of the configuration.
+    configuration_freshness freshness;
 };
 
-/// What is looked at of the request itself.
+/// The properties of a request that the decision depends on.
 struct entry_request {
-    std::string_view host;   ///< As in its head.
-    std::string_view target; ///< Likewise.
+    std::string_view host;   ///< As in the request head.
+    std::string_view target; ///< As in the request head.
     std::optional<std::string> key;
 };
 
-/// Either a route and its service, or a refusal.
+/// The route and service of an accepted request, or a refusal.
 struct entry_decision {
     const traffic::route* route = nullptr;
     const traffic::service* service = nullptr; ///< Null: refused.
-    /// Whose request it is; null: nobody's.
+    /// Organisation that the key belongs to; null: anonymous.
     const traffic::organisation* organisation = nullptr;
     int status = 0; ///< HTTP status of the refusal.
     std::string_view reason;
     std::optional<base::milliseconds> retry_after;
 };
 
-/// @param draw uniform in [0, 1), chooses among the services of a route.
+/// Checks and routes a request.
+/// @param draw uniform random number in [0, 1); chooses among the services of a
+/// route.
 entry_decision check_entry(
     const entry_conditions& conditions, const entry_request& request,
     double draw);
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/retry_allowance.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/retry_allowance.hpp
@@ -1,19 +1,20 @@
 /// @file
-/// How many repeated sends an instance may make for a service.
+/// Retry budget of an instance for a service.
 ///
-/// Guards the bound that the users set for all instances together. Two rules,
-/// by the size of the group (policy/group.hpp):
+/// Keeps the configured bound on retries for all instances together. The method
+/// depends on the size of the group (policy/group.hpp):
 ///
-/// - Small groups: an instance spends its own part, and of what peers leave as
-///   much as their last heartbeats show, some 60 ms ago. Against own parts
-///   alone this changed worth by 0.016 at most (ten plays or more each on three
-///   deployments); it matters where one instance meets the trouble.
-/// - Large groups (repeat_rights.hpp): heartbeats are up to several seconds old
-///   there, and all instances together would spend the same remainder in the
-///   meantime. Only the own part is spent, and what a peer has lent.
+/// - Small groups: an instance spends its own share and retries that its peers
+///   leave unused according to their latest heartbeats, which are about 60 ms
+///   old. Compared with own shares alone this changed the score by 0.016 at
+///   most (at least ten runs on each of three deployments); it helps if only
+///   one instance needs retries.
+/// - Large groups (retry_quota.hpp): heartbeats are up to several seconds old,
+///   and all instances would spend the same remainder in the meantime. An
+///   instance spends only its own quota and retries lent by peers.
 ///
 /// Metrics: `mintknot_repeats_total`, `mintknot_repeats_lent`,
-/// `mintknot_repeats_borrowed`; refusals that it causes have the reason
+/// `mintknot_repeats_borrowed`. Refusals due to this budget have the reason
 /// `retry_allowance_spent`.
 #ifndef MINTKNOT_POLICY_RETRY_ALLOWANCE_HPP
 #define MINTKNOT_POLICY_RETRY_ALLOWANCE_HPP
@@ -29,8 +30,8 @@
 
 namespace mintknot::policy {
 
-/// The bound that all instances together must keep: within any window, at
-/// most `ratio` repeats for each request, and `extra` on top.
+/// Bound on the retries of all instances together: in any window, at most
+/// `ratio` retries per request plus `extra`.
 struct retry_bounds {
     double ratio = 0.2;
     double extra = 20.0;
@@ -39,72 +40,74 @@
     bool operator==(const retry_bounds&) const = default;
 };
 
-/// Requests and repeats of one service within the last window.
+/// Number of requests and retries of one service.
 struct retry_usage {
     std::int64_t requests = 0;
     std::int64_t retries = 0;
 };
 
-/// Usage by service.
+/// Usage by service name.
 using usage_map = std::unordered_map<std::string, retry_usage>;
 
-/// What others have used within the last window, as far as they have told.
+/// Usage of the peers within the last window, as reported by them.
 struct fleet_usage {
-    retry_usage peers;     ///< Those that have gone meanwhile included.
-    std::size_t heard = 0; ///< Peers that are heard at present.
+    retry_usage peers;     ///< Includes peers that have left meanwhile.
+    std::size_t heard = 0; ///< Number of peers that send heartbeats.
 };
 
 /// Counts over a sliding window, in steps of a tenth of it.
 struct usage_window {
     static constexpr std::size_t steps_in_window = 10;
-    /// One more than the window has: the newest step is not over yet, so that
-    /// a whole window reaches into this many.
+    /// One more than a window has: the newest step is still in progress, so
+    /// that a window overlaps this many steps.
     static constexpr std::size_t steps = steps_in_window + 1;
     std::array<retry_usage, steps> counts{};
     std::int64_t newest_step = 0;
 };
 
-/// Repeats that one instance has lent to another.
+/// Retries that one instance has lent to another.
 struct retry_loan {
     int retries = 0;
-    base::steady_time until{}; ///< Counts, or may be spent, up to then.
+    /// Time until which the lender counts them, or the borrower may use them.
+    base::steady_time until{};
 };
 
-/// One instance's part of the bound. It needs no coordination: an instance
-/// may always spend what its own requests earn and an equal part of the
-/// extra. What peers leave unused may be spent on top, in proportion to how
-/// many of them are heard. An instance that has just started does not know
-/// what its earlier life has spent: it begins with nothing saved, and leaves
-/// alone what peers leave until a whole window has passed.
+/// Retry budget of one instance. An instance may always spend what its own
+/// requests earn and an equal share of `extra`, without coordination. Retries
+/// that peers leave unused may be spent in addition, in proportion to the
+/// number of peers heard. After a restart, an instance does not know how much
+/// it had already spent: it starts with nothing saved and uses no unused
+/// retries of peers until a whole window has passed.
 struct retry_allowance {
-    double earned = 0.0;     ///< From requests.
-    double from_extra = 0.0; ///< From the part of the extra.
-    base::steady_time refilled{};
+    double earned = 0.0;          ///< Retries earned by requests.
+    double from_extra = 0.0;      ///< Retries from the share of `extra`.
+    base::steady_time refilled{}; ///< Last update of the share of `extra`.
     usage_window used;
-    usage_window used_borrowed; ///< The part of `used` that peers had lent.
+    usage_window used_borrowed; ///< The borrowed retries within `used`.
     std::vector<retry_loan> borrowed;
     std::vector<retry_loan> lent;
 };
 
-/// What a decision about a repeat looks at beside the own allowance.
+/// State of the group that a decision about a retry depends on.
 struct spend_terms {
-    std::size_t instances = 1; ///< How many there may be at most.
+    std::size_t instances = 1; ///< Upper bound of the group size.
     fleet_usage fleet;
-    base::steady_time started{}; ///< When this instance began to count.
+    base::steady_time started{}; ///< Start of counting on this instance.
 };
 
-/// Adds one request of the service.
+/// Records one request of the service, which earns `ratio` retries.
 void earn_retries(
     retry_allowance& allowance, const retry_bounds& bounds,
     base::steady_time now);
 
-/// Takes one repeat. @return false if there is none left.
+/// Consumes one retry.
+/// @return false if none is left.
 bool spend_retry(
     retry_allowance& allowance, const retry_bounds& bounds,
     const spend_terms& terms, base::steady_time now);
 
-/// @return what was used within the last window; its oldest step may be cut
-/// short.
+/// @return the usage within the last window; may exclude a part of the oldest
+/// step.
 retry_usage usage(
     const retry_allowance& allowance, const retry_bounds& bounds,
     base::steady_time now);
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/staleness_bounds.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/staleness_bounds.hpp
@@ -1,12 +1,13 @@
 /// @file
-/// How old what an instance knows of the servers may become.
+/// Bounds on the staleness of the server table of an instance.
 ///
-/// A server that leaves gets no request later than the drain bound after the
-/// store has taken its word. That time is shared out along the way: the store's
-/// watches, the instances that pass news on, the instance that sends, and the
-/// request itself. Each instance knows as of when its view was the newest, so
-/// that ages add up along the way whoever is silent there, and asks the store
-/// itself before they use up their share. Log fields: `servers_age_ms`.
+/// A leaving server must get no request later than the drain bound after the
+/// store has recorded its departure. That time is divided among the steps of
+/// propagation: the watches of the store, the instances that relay changes, the
+/// instance that sends the request, and the transfer of the request. Each
+/// instance tracks when its view was last known to be current. Ages thus add up
+/// along the path even if an instance on it fails, and an instance reads from
+/// the store itself before its share is used up. Log fields: `servers_age_ms`.
 #ifndef MINTKNOT_POLICY_STALENESS_BOUNDS_HPP
 #define MINTKNOT_POLICY_STALENESS_BOUNDS_HPP
 
@@ -14,35 +15,36 @@
 
 namespace mintknot::policy {
 
-/// From the choice of a server to the arrival of the request there: a
-/// connection may have to come up.
+/// Time allowed between the choice of a server and the arrival of the request
+/// there; includes opening a connection.
 inline constexpr base::milliseconds request_travel_time{500};
 
-/// Parts of a bound within which all instances are to know of a change.
+/// Parts of the time within which all instances must have received a change.
 struct staleness_bounds {
-    /// How long the store holds a watch of an instance that nobody follows. A
-    /// watch that gets no answer keeps it blind until then.
+    /// Duration of a store watch of an instance that relays nothing. If the
+    /// store does not answer, the instance receives no changes for this time.
     base::milliseconds unfollowed_watch;
-    /// The same where all peers tell which version they know, so that who lags
-    /// behind asks one of them.
+    /// The same if all peers announce their version, so that an instance that
+    /// lags behind can read from one of them.
     base::milliseconds peer_checked_watch;
-    /// The same of an instance that passes on what it reads: while all is well,
-    /// what its followers know is at least as old.
+    /// The same for an instance that relays changes: even without faults, the
+    /// data of its followers can be this old.
     base::milliseconds relayed_watch;
-    /// From this age on the readers are not enough, and the store is asked.
+    /// Age from which an instance reads from the store itself instead of
+    /// waiting for the relaying instances.
     base::milliseconds max_age;
-    /// Longest pause between two questions, before a random spread, while
-    /// nobody answers: it comes on top of the patience.
+    /// Maximum delay between two unanswered reads, before jitter. Adds to
+    /// `max_age`.
     base::milliseconds retry_pause;
 };
 
-/// @param bound from the store's word to the last request that did not obey;
-/// too short a one is not kept.
+/// @param bound time from the change in the store to the last request that does
+/// not reflect it. Values too short to be met are raised to a minimum.
 staleness_bounds staleness_bounds_for(base::milliseconds bound);
 
-/// @return how long an instance that holds no rows may send to a server that a
-/// scheduler has named: what the scheduler's patience and the way of the
-/// request leave of the bound.
+/// @return how long an instance without a server table may send requests to a
+/// server chosen by a scheduler: the bound less the maximum age of the
+/// scheduler's data and the transfer time of a request.
 base::milliseconds named_server_lifetime(base::milliseconds bound);
 
 } // namespace mintknot::policy
--- a/libs/mintknotd-platform/policy/src/answer_timeout.cpp
+++ b/libs/mintknotd-platform/policy/src/answer_timeout.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-/// An answer may take so many times as long as those before.
+/// Timeout as a multiple of the round-trip time.
 constexpr int timeout_factor = 2;
-/// However slow answers were, nobody waits longer: a frozen instance answers
-/// after seconds. Three round trips between the regions that are known.
+/// Upper bound of the timeout, as a frozen instance answers only after seconds.
+/// Three round trips between the known regions.
 constexpr base::milliseconds max_timeout{120};
-/// Part of the longest time that each shorter one leaves: some twenty quick
-/// answers make a host near again.
+/// Decay of the maximum per answer: about twenty fast answers bring the timeout
+/// of a nearby host back to its minimum.
 constexpr double decay = 0.9;
 
 } // namespace
--- a/libs/mintknotd-platform/policy/src/attempts.cpp
+++ b/libs/mintknotd-platform/policy/src/attempts.cpp
@@ -4,23 +4,23 @@
 
 namespace {
 
-/// Rejections after which a request is not placed any more. An instance's view
-/// of loads is some 60 ms old, so that a few in a row happen.
+/// Maximum number of rejections that a request is retried after. The load data
+/// of an instance is about 60 ms old, so a few successive ones are normal.
 constexpr int max_rejections = 3;
-/// Connections that may fail in a row. A plain request is then given up, a
-/// generation request waits a moment.
+/// Maximum number of failed connections. Beyond it, a plain request is given up
+/// and a generation request waits briefly.
 constexpr int max_unreachable_plain = 4;
 constexpr int max_unreachable_decode = 3;
-/// Prefills of one request, lost ones included. Each read of a prompt that is
-/// not used costs a prefill engine its whole time.
+/// Maximum number of prefills per request, including lost ones. Each unused
+/// prefill occupies a prefill engine for the whole time of the prompt.
 constexpr int max_prefills = 3;
-/// Pauses of one request for repeats of peers: those of a second question, if
-/// the first found nothing.
+/// Maximum number of waits of a request for retries lent by peers: the second
+/// wait allows for another query if the first one obtained nothing.
 constexpr int max_loan_waits = 2;
-/// Rejections from which on the kept result is suspected.
+/// Number of rejections from which the kept prefill result is suspect.
 constexpr int rejections_to_suspect_result = 2;
 
-/// Ends a request: once an answer has begun, it can only be broken off.
+/// Ends a request. An answer that has begun can only be broken off.
 next_step end_request(std::string_view reason, const attempts& so_far) {
     return {so_far.answer_begun ? action::break_off : action::give_up, reason};
 }
@@ -29,19 +29,19 @@
     return {action::give_up, reason};
 }
 
-/// Gives up because no server is within reach.
+/// Gives up because no server is reachable.
 next_step give_up_unreachable(std::string_view reason) {
     return {action::give_up, reason, false, action::give_up, {}, true};
 }
 
-/// Sends again at the price of one repeat, or does something else.
+/// Sends again if a retry is left, otherwise takes the alternative step.
 next_step retry_or(
     std::string_view reason, action otherwise,
     std::string_view otherwise_reason) {
     return {action::send_again, reason, true, otherwise, otherwise_reason};
 }
 
-/// Nothing may have run, or running twice is allowed.
+/// @return true if no server has executed the request or it may run twice.
 bool may_send_again(
     const traffic::route& route, const attempts& so_far,
     const plain_call_state& state) {
@@ -57,7 +57,7 @@
     return retry_or(reason, action::give_up, reason);
 }
 
-/// A server's own failure: another server may do better.
+/// Retries on another server after a server error.
 next_step after_plain_failure(
     call_end end, const traffic::route& route, const attempts& so_far,
     const plain_call_state& state) {
@@ -70,8 +70,8 @@
     return retry_or("server_failure", last, why);
 }
 
-/// Goes on at another engine, or ends. A stream may run again only where its
-/// route is resumable.
+/// Resumes on another engine or ends. Only streams of resumable routes may run
+/// again.
 next_step resume_or_end(
     std::string_view reason, const traffic::route& route,
     const attempts& so_far) {
@@ -119,7 +119,7 @@
             return make_give_up("server_rejected");
         return after_plain_loss("server_rejected", route, so_far, state);
     case call_end::unreachable:
-        // Nothing was sent: another try costs no repeat.
+        // Nothing was sent, so another attempt consumes no retry.
         if (so_far.unreachable > max_unreachable_plain)
             return give_up_unreachable("server_unreachable");
         return {action::send_again, "server_unreachable"};
--- a/libs/mintknotd-platform/policy/src/call_charges.cpp
+++ b/libs/mintknotd-platform/policy/src/call_charges.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// One prefill does not count, whichever it was: what was paid for one that was
-/// sent behind another call is there for the next.
+/// Excludes one prefill from the count. If it had been paid for, as it was sent
+/// after another call, its retry becomes available to the next call.
 void exclude_prefill(call_charges& charges) {
     if (charges.prefill_executed)
         return;
@@ -20,8 +20,8 @@
 int retries_to_prepay(const call_charges& charges, int calls) {
     if (charges.arrivals > 0)
         return calls;
-    // The next call is the first that counts; a prefill does not count as long
-    // as no engine has taken one up.
+    // The next call is the first that counts. A prefill does not count if no
+    // engine has executed one yet.
     const bool first_is_free = calls == 1 || !charges.prefill_executed;
     return first_is_free ? 0 : calls - 1;
 }
@@ -41,9 +41,9 @@
     case call_result::unreachable:
         --charges.arrivals;
         return;
-    // A slow one may have waited in the engine's queue until it was given up.
-    // Counted as taken up, the calls of a burst came to 1.07 and 1.15 of the
-    // bound (67 instances, 45 engines, two plays).
+    // A slow prefill may have been queued in the engine until it was given up.
+    // When it was treated as executed, the calls of a burst reached 1.07 and
+    // 1.15 times the bound (67 instances, 45 engines, two runs).
     case call_result::slow:
     case call_result::rejected:
     case call_result::silent:
--- a/libs/mintknotd-platform/policy/src/crash_evidence.cpp
+++ b/libs/mintknotd-platform/policy/src/crash_evidence.cpp
@@ -10,19 +10,19 @@
 constexpr std::size_t max_suspects = 2048;
 constexpr std::size_t max_blocked = 1024;
 constexpr std::size_t max_ends = 4096;
-/// Crashes of one request that are kept: more prove nothing more.
+/// Number of crashes stored per request; more do not change the result.
 constexpr std::size_t max_crashes_kept = 8;
 /// How long a crash counts against a request.
 constexpr base::milliseconds suspect_lifetime{10 * 60 * 1000};
-/// For how long after its end a block makes the next one longer.
+/// How long after its end a block still lengthens the next one.
 constexpr base::milliseconds block_history_time{10 * 60 * 1000};
 constexpr int max_doublings = 5;
-/// Nothing ends a server sooner after it was sent; a proxy in front of one that
-/// is not there ends calls at once.
+/// Minimum run time of a request that can have caused a crash. A proxy in front
+/// of a missing server closes calls immediately.
 constexpr base::milliseconds min_run{3};
-/// The times of instances' reports agree within this time.
+/// Maximum difference between the times in reports of different instances.
 constexpr base::milliseconds max_report_skew{5};
-/// News of a block are on their way for less than this.
+/// Upper bound of the delivery time of a block notice.
 constexpr base::milliseconds cleared_lifetime{10000};
 
 base::milliseconds block_time(int times) {
@@ -33,8 +33,8 @@
     return block.until > now;
 }
 
-/// Makes room for one more: a flood of requests that crash one server each does
-/// not push out those that have crashed more.
+/// Evicts the suspect with the fewest crashes if the table is full, so that
+/// many requests with one crash each do not displace those with more.
 void make_room(std::map<std::string, crash_suspect>& suspects) {
     if (suspects.size() < max_suspects)
         return;
@@ -55,13 +55,13 @@
         }));
 }
 
-/// The end of a server, and since when a request had run there.
+/// Crash of a server and the start of the request's run there.
 struct observed_crash {
     base::steady_time began;
     base::steady_time ended;
 };
 
-/// @return the ends that a request may have brought about, in order.
+/// @return the crashes that the request may have caused, ordered by time.
 std::vector<observed_crash> possible_crashes(
     const crash_evidence& evidence, const crash_suspect& suspect,
     const std::set<std::string>& explained) {
@@ -82,8 +82,8 @@
     return ends;
 }
 
-/// @return how many of the ends followed each other: the run began when the
-/// server before had ended.
+/// @return the number of consecutive crashes, in which each run began after the
+/// previous crash.
 std::size_t count_consecutive(const std::vector<observed_crash>& ends) {
     std::size_t count = 0;
     base::steady_time last{};
@@ -114,7 +114,7 @@
             [](const auto& a, const auto& b) { return a.second < b.second; }));
 }
 
-/// @return the lives of servers whose end is another request's doing.
+/// @return the server incarnations whose crash is attributed to other requests.
 std::set<std::string> explained_incarnations(
     const crash_evidence& evidence, const std::string& digest,
     base::steady_time now) {
--- a/libs/mintknotd-platform/policy/src/retry_allowance.cpp
+++ b/libs/mintknotd-platform/policy/src/retry_allowance.cpp
@@ -10,23 +10,23 @@
 
 namespace {
 
-/// Part of the extra that is given out as own parts; the rest is a margin for
-/// instances that are not heard of yet.
+/// Fraction of `extra` that is handed out as own shares; the rest is a margin
+/// for instances that are not known yet.
 constexpr double extra_fraction = 0.9;
-/// Half of an instance's part may be saved up, half comes within a window: in
-/// no window can more than the whole part be spent. Derived.
+/// Fraction of the own share that can be saved; the rest is refilled within a
+/// window. Their sum is the whole share, so that no window exceeds it.
 constexpr double saved_fraction = 0.5;
-/// Most repeats that are saved up from requests: those of some twenty.
+/// Maximum number of saved retries earned by requests: those of about twenty.
 constexpr double max_earned = 4.0;
-/// Share of the whole bound up to which an instance spends beyond its part. The
-/// rest is for what others spend before they have told of it.
+/// Fraction of the group's bound up to which an instance spends beyond its own
+/// share. The rest covers retries that peers have not reported yet.
 constexpr double common_fraction = 0.5;
-/// Share of the whole bound above which not even the own part is spent.
+/// Fraction of the group's bound above which not even the own share is spent.
 constexpr double stop_fraction = 0.75;
 
-/// After its start an instance earns nothing of the extra until it has heard
-/// whether the group is large: it begins with the part of ten, which 295 that
-/// start at once would all have.
+/// Time after its start in which an instance gets no share of `extra`, as it
+/// does not know the group size yet: it assumes ten instances, so that 295
+/// instances starting at once would each take a tenth.
 constexpr base::milliseconds group_discovery_time{2000};
 
 void refill(
@@ -47,8 +47,8 @@
     allowance.refilled = now;
 }
 
-/// @return how many repeats of all instances are left for an instance that has
-/// used up its own part.
+/// @return the number of retries of the whole group up to which an instance may
+/// spend beyond its own share.
 double common_retries(
     const retry_bounds& bounds, const spend_terms& terms, double group_bound,
     base::steady_time now) {
--- a/libs/mintknotd-platform/policy/src/retry_quota.cpp
+++ b/libs/mintknotd-platform/policy/src/retry_quota.cpp
@@ -10,16 +10,16 @@
 
 namespace {
 
-/// Part of the bound that is given out. An instance spends most when its window
-/// holds most requests, and not all do so at one time: with the whole of it, 58
-/// instances of 6 requests a second each used up to 1.06 of the bound in some
-/// window (test_repeat_rights.cpp), with this part 0.96.
+/// Fraction of the bound that is handed out as quotas. Instances have their
+/// peak numbers of requests at different times and spend most then: at 1.0, 58
+/// instances with 6 requests per second each used up to 1.06 times the bound in
+/// a window (test_retry_quota.cpp), at 0.9 up to 0.96.
 constexpr double quota_fraction = 0.9;
-/// An instance asks for more when it has fewer repeats left than this: those of
-/// one call that full servers turn away, up to three, are then there.
+/// An instance requests a loan if it has fewer retries left than this: a call
+/// rejected by full servers needs up to three.
 constexpr int loan_threshold = 3;
-/// Lent is this part of what is left, so that the lender can still serve its
-/// own callers.
+/// Divisor: a lender lends half of its remaining quota and keeps the rest for
+/// its own callers.
 constexpr int lend_divisor = 2;
 
 int sum(const std::vector<retry_loan>& loans) {
@@ -37,7 +37,7 @@
     std::erase_if(allowance.lent, expired);
 }
 
-/// @return the own part of the extra.
+/// @return this instance's share of `extra`.
 double extra_share(
     const retry_bounds& bounds, const spend_terms& terms,
     base::steady_time now) {
@@ -47,7 +47,7 @@
            static_cast<double>(std::max<std::size_t>(terms.instances, 1));
 }
 
-/// @return whole repeats that are left of the own part.
+/// @return the remaining own quota, in whole retries.
 int remaining_quota(
     const retry_allowance& allowance, const retry_bounds& bounds,
     const spend_terms& terms, base::steady_time now) {
--- a/libs/mintknotd-platform/policy/src/row_expiry.cpp
+++ b/libs/mintknotd-platform/policy/src/row_expiry.cpp
@@ -8,13 +8,14 @@
 
 namespace {
 
-/// Lapsed rows are back within two seconds of the store's return, by the users'
-/// description; less a margin.
+/// Expired rows return within two seconds after the store is available again,
+/// according to the users' specification; less a margin.
 constexpr base::milliseconds max_recovery_time{1600};
-/// By how much the time must stay below the drain bound.
+/// Minimum difference between the recovery time and the drain bound.
 constexpr base::milliseconds drain_margin{400};
-/// Removals from which on a quarter of all servers is no departure.
+/// Minimum number of removals for a mass removal.
 constexpr std::size_t min_mass_removals = 3;
+/// Divisor: a mass removal affects at least a quarter of the servers.
 constexpr std::size_t mass_removal_divisor = 4;
 
 } // namespace
--- a/libs/mintknotd-platform/policy/src/staleness_bounds.cpp
+++ b/libs/mintknotd-platform/policy/src/staleness_bounds.cpp
@@ -7,16 +7,17 @@
 namespace {
 
 constexpr int unfollowed_watches_in_bound = 2;
-/// Less than the patience by what two instances gather for.
+/// Two relayed watches must be shorter than the maximum age.
 constexpr int relayed_watches_in_bound = 4;
 constexpr int pauses_in_bound = 10;
-/// In hundredths of the bound. The rest is for a pause, the call to the store
-/// and the way of a request.
+/// Maximum age as a percentage of the bound. The rest covers a retry pause, the
+/// call to the store and the transfer of a request.
 constexpr int max_age_percent = 60;
 constexpr int whole_percent = 100;
-/// A shorter bound cannot be kept: calls to the store take some milliseconds.
+/// Shortest bound that can be met, as calls to the store take milliseconds.
 constexpr base::milliseconds min_bound{600};
-/// Less than a prompt takes to be read would only ask again each time.
+/// With less time than a prefill takes, the scheduler would have to be queried
+/// again for every request.
 constexpr base::milliseconds min_named_server_lifetime{300};
 
 } // namespace
--- a/libs/mintknotd-platform/policy/src/usage_account.cpp
+++ b/libs/mintknotd-platform/policy/src/usage_account.cpp
@@ -11,16 +11,18 @@
 
 constexpr double milliseconds_per_second = 1000.0;
 
-/// How late grants of others may be heard of: a process that has been frozen
-/// for so long finds them waiting. Longer ones are taken for lost by then.
+/// Maximum delay of charges for grants made elsewhere: a process that was
+/// frozen for up to this time finds them queued. A process frozen for longer
+/// has already been treated as lost.
 constexpr base::milliseconds max_charge_delay{4000};
 
-/// What an account earns of its share while the keeper that it stands in for
-/// may still grant the whole limit. A calm load of 0.55 of the limit is served
-/// whole all the same, out of the overdraft.
+/// Fraction of its rate that an account earns at first when standing in for a
+/// keeper that may still be granting the whole limit. A steady load of 0.55 of
+/// the limit is still served completely with the help of the overdraft.
 constexpr double initial_rate_fraction = 0.68;
 
-/// @return the milliseconds since the last look that count.
+/// @return the milliseconds since the last update, with the time at the reduced
+/// rate weighted by initial_rate_fraction.
 double earning_time(const usage_account& account, base::steady_time now) {
     using milliseconds = std::chrono::duration<double, std::milli>;
     const milliseconds since = now - account.updated;
@@ -34,7 +36,7 @@
     return since.count() - (1.0 - initial_rate_fraction) * reduced.count();
 }
 
-/// Adds what has been earned since the last look.
+/// Adds the tokens earned since the last update.
 void update(
     usage_account& account, const account_terms& terms, base::steady_time now) {
     if (account.updated == base::steady_time{})
--- a/libs/mintknotd-platform/policy/src/usage_window.cpp
+++ b/libs/mintknotd-platform/policy/src/usage_window.cpp
@@ -32,7 +32,7 @@
 retry_usage& current_counts(
     usage_window& window, const retry_bounds& bounds, base::steady_time now) {
     const std::int64_t step = step_of(bounds, now);
-    // The length of a window was changed while running: steps count anew.
+    // The window length has been reconfigured, so step numbers start again.
     if (step < window.newest_step - step_slots)
         window = {};
     const std::int64_t oldest = step - step_slots + 1;
--- a/libs/mintknotd-platform/policy/tests/test_access.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_access.cpp
@@ -30,35 +30,35 @@
 
 } // namespace
 
-Test(access, a_key_names_its_holder) {
+Test(access, a_key_identifies_its_organisation) {
     const access_decision decision =
         check_access(&table, false, "kb", unbounded);
     cr_assert(decision.what == access_verdict::granted);
     cr_assert(decision.organisation->name == "b");
 }
 
-Test(access, without_a_known_key_nothing_is_let_in) {
+Test(access, requests_without_a_known_key_are_refused) {
     cr_assert(
         what(false, std::nullopt, unbounded) == access_verdict::unknown_key);
     cr_assert(what(false, "kc", unbounded) == access_verdict::unknown_key);
     cr_assert(what(false, "KA", unbounded) == access_verdict::unknown_key);
 }
 
-Test(access, a_route_for_all_needs_no_key_but_looks_at_it) {
+Test(access, an_open_route_needs_no_key_but_attributes_requests) {
     cr_assert(what(true, std::nullopt, unbounded) == access_verdict::granted);
     cr_assert(what(true, "kc", unbounded) == access_verdict::granted);
     const access_decision known = check_access(&table, true, "ka", unbounded);
     cr_assert(known.organisation->name == "a");
 }
 
-Test(access, without_organisations_no_key_is_looked_at) {
+Test(access, keys_are_ignored_without_organisations) {
     const access_decision decision =
         check_access(nullptr, false, "ka", of_age(std::nullopt));
     cr_assert(decision.what == access_verdict::granted);
     cr_assert(decision.organisation == nullptr);
 }
 
-Test(access, old_knowledge_lets_nobody_in) {
+Test(access, a_stale_configuration_admits_no_key) {
     cr_assert(
         what(false, "ka", of_age(milliseconds{4900})) ==
         access_verdict::granted);
@@ -68,20 +68,20 @@
     cr_assert(
         what(false, "ka", of_age(std::nullopt)) ==
         access_verdict::stale_configuration);
-    // Whether the key is good cannot be told either way.
+    // An unknown key cannot be told from a new one either.
     cr_assert(
         what(false, "kc", of_age(milliseconds{6000})) ==
         access_verdict::stale_configuration);
 }
 
-Test(access, old_knowledge_serves_routes_for_all_on_as_nobodys) {
+Test(access, open_routes_stay_available_anonymously_when_stale) {
     const access_decision decision =
         check_access(&table, true, "ka", of_age(milliseconds{9000}));
     cr_assert(decision.what == access_verdict::granted);
     cr_assert(decision.organisation == nullptr);
 }
 
-Test(access, three_fifths_of_the_bound_are_served_in_any_case) {
+Test(access, an_age_of_three_fifths_of_the_bound_is_accepted) {
     cr_assert(
         what(false, "ka", of_age(milliseconds{3000})) ==
         access_verdict::granted);
--- a/libs/mintknotd-platform/policy/tests/test_answer_timeout.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_answer_timeout.cpp
@@ -9,7 +9,8 @@
 
 constexpr base::milliseconds min_timeout{30};
 
-/// One question and its answer. @return what the next one may take.
+/// Records a query and its answer.
+/// @return the timeout of the next query.
 base::milliseconds
 after_answer(answer_times& times, base::milliseconds round_trip, int at_ms) {
     const base::steady_time sent_at{base::milliseconds{at_ms}};
@@ -20,18 +21,18 @@
 
 } // namespace
 
-Test(answer_pace, near_instances_have_the_least) {
+Test(answer_pace, nearby_instances_have_the_minimum_timeout) {
     answer_times times;
     cr_assert(answer_timeout(times, "h", min_timeout) == min_timeout);
     cr_assert(after_answer(times, base::milliseconds{2}, 1000) == min_timeout);
 }
 
-Test(answer_pace, a_late_answer_tells_how_far_it_is) {
+Test(answer_pace, a_late_answer_raises_the_timeout) {
     answer_times times;
     cr_assert(
         after_answer(times, base::milliseconds{42}, 1000) ==
         base::milliseconds{84});
-    // One quick answer does not make it near.
+    // A single fast answer does not restore the minimum.
     cr_assert(
         after_answer(times, base::milliseconds{5}, 2000) > 2 * min_timeout);
     for (int i = 3; i < 40; ++i)
@@ -39,14 +40,14 @@
     cr_assert(answer_timeout(times, "h", min_timeout) == min_timeout);
 }
 
-Test(answer_pace, one_that_stood_still_is_not_waited_for_as_long) {
+Test(answer_pace, a_frozen_instance_does_not_exceed_the_maximum) {
     answer_times times;
     cr_assert(
         after_answer(times, base::milliseconds{4000}, 1000) ==
         base::milliseconds{120});
 }
 
-Test(answer_pace, an_answer_that_nobody_asked_for_tells_nothing) {
+Test(answer_pace, an_unsolicited_answer_is_ignored) {
     answer_times times;
     note_answer_received(
         times, "h", base::steady_time{base::milliseconds{9000}});
--- a/libs/mintknotd-platform/policy/tests/test_attempts.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_attempts.cpp
@@ -24,7 +24,7 @@
 const traffic::route safe_route = route_of(traffic::route_kind::safe, 2);
 const traffic::route stream_route = route_of(traffic::route_kind::streaming, 2);
 
-/// A call has gone out and time is left.
+/// A call was sent and time is left.
 plain_call_state
 call_state(base::verdict verdict, bool says_not_executed = false) {
     return {verdict, says_not_executed, base::milliseconds{500}};
@@ -36,7 +36,7 @@
 
 } // namespace
 
-Test(attempts, an_unsafe_call_that_may_have_run_is_never_sent_again) {
+Test(attempts, an_unsafe_call_that_may_have_run_is_never_retried) {
     const attempts once{.runs = 1};
     const auto broken = after_plain_call(
         call_end::broken_off, unsafe_route, once, call_state(may_have_run));
@@ -50,7 +50,7 @@
     cr_assert(failed.what == action::deliver);
 }
 
-Test(attempts, what_has_not_run_is_sent_again_for_a_repeat) {
+Test(attempts, a_call_that_has_not_run_is_retried) {
     const attempts rejected_once{.rejections = 1};
     const auto step = after_plain_call(
         call_end::rejected, unsafe_route, rejected_once,
@@ -61,7 +61,7 @@
     cr_assert(step.otherwise_reason == "server_rejected");
 }
 
-Test(attempts, a_server_that_says_not_executed_lets_an_unsafe_call_go_on) {
+Test(attempts, an_unsafe_call_is_retried_if_reported_as_not_executed) {
     const attempts rejected_once{.rejections = 1};
     cr_assert(
         after_plain_call(
@@ -75,7 +75,7 @@
             .what == action::give_up);
 }
 
-Test(attempts, rejections_in_a_row_end_a_request) {
+Test(attempts, too_many_rejections_end_a_request) {
     const attempts three{.rejections = 3};
     const attempts four{.rejections = 4};
     cr_assert(
@@ -94,7 +94,7 @@
         action::give_up);
 }
 
-Test(attempts, failed_connections_cost_no_repeat) {
+Test(attempts, failed_connections_consume_no_retry) {
     const attempts four{.unreachable = 4};
     const auto step = after_plain_call(
         call_end::unreachable, unsafe_route, four, call_state(not_run));
@@ -118,7 +118,7 @@
         action::pause);
 }
 
-Test(attempts, a_servers_failure_is_delivered_where_it_cannot_be_mended) {
+Test(attempts, a_server_error_is_delivered_if_it_cannot_be_retried) {
     const attempts once{.runs = 1};
     const attempts twice{.runs = 2};
     const auto first = after_plain_call(
@@ -164,7 +164,7 @@
     cr_assert(after_allowance_spent({}, false).what == action::give_up);
 }
 
-Test(attempts, only_a_resumable_stream_goes_on_elsewhere) {
+Test(attempts, only_a_resumable_stream_continues_on_another_engine) {
     const attempts begun{.runs = 1, .answer_begun = true};
     const traffic::route resumable = resumable_route();
     for (const auto end : {call_end::broken_off, call_end::server_failure})
@@ -188,25 +188,25 @@
     cr_assert(step.otherwise == action::keep_waiting);
 }
 
-Test(attempts, a_second_rejection_points_at_the_result) {
+Test(attempts, a_second_rejection_makes_the_result_suspect) {
     cr_assert(needs_separate_prefill({.rejections = 1}, false));
     cr_assert(!needs_separate_prefill({.rejections = 2}, false));
     cr_assert(!is_result_suspect({.rejections = 1}));
     cr_assert(is_result_suspect({.rejections = 2}));
 }
 
-Test(attempts, prefills_are_bounded_and_not_repeated_for_a_kept_result) {
+Test(attempts, prefills_are_bounded_and_not_needed_with_a_kept_result) {
     cr_assert(needs_separate_prefill({.prefills = 2}, false));
     cr_assert(!needs_separate_prefill({.prefills = 3}, false));
     cr_assert(!needs_separate_prefill({}, true));
 }
 
-Test(attempts, a_tried_engine_may_serve_again_unless_one_has_rejected) {
+Test(attempts, a_tried_engine_may_be_reused_unless_one_rejected) {
     cr_assert(may_reuse_tried_engine({.unreachable = 1}));
     cr_assert(!may_reuse_tried_engine({.rejections = 1}));
 }
 
-Test(attempts, repeats_of_peers_are_waited_for_a_few_times) {
+Test(attempts, waits_for_borrowed_retries_are_bounded) {
     attempts so_far;
     int waits = 0;
     while (after_allowance_spent(so_far, true).what == action::await_loan) {
--- a/libs/mintknotd-platform/policy/tests/test_call_charges.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_call_charges.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Prepays what is asked and sends one call.
+/// Prepays the required retries and sends one call.
+/// @return the number of retries paid.
 int send(call_charges& charges, int calls) {
     const int before = charges.prepaid;
     charges.prepaid =
@@ -27,27 +28,27 @@
     cr_assert_eq(send(charges, 1), 0);
 }
 
-Test(call_charges, a_second_prefill_is_paid_with_its_decode) {
+Test(call_charges, a_second_prefill_is_prepaid_with_its_decode) {
     call_charges charges;
     send(charges, calls_with_prefill);
     note_prefill_end(charges, call_result::slow);
     cr_assert_eq(send(charges, calls_with_prefill), 2);
     note_prefill_end(charges, call_result::good);
-    // The decode has been paid for, and so has another one: only one of the
-    // prefills counts.
+    // The decode has been prepaid, and one more: only one of the prefills
+    // counts.
     cr_assert_eq(send(charges, 1), 0);
     cr_assert_eq(send(charges, 1), 0);
     cr_assert_eq(send(charges, 1), 1);
 }
 
-Test(call_charges, a_prefill_that_was_given_up_may_have_waited_in_vain) {
+Test(call_charges, a_prefill_that_was_given_up_counts) {
     call_charges charges;
     send(charges, calls_with_prefill);
     note_prefill_end(charges, call_result::slow);
     cr_assert_eq(send(charges, 1), 1);
 }
 
-Test(call_charges, a_rejected_prefill_has_arrived) {
+Test(call_charges, a_rejected_prefill_counts) {
     call_charges charges;
     send(charges, calls_with_prefill);
     note_prefill_end(charges, call_result::rejected);
@@ -56,13 +57,13 @@
     cr_assert_eq(send(charges, 1), 0);
 }
 
-Test(call_charges, connections_that_failed_cost_nothing) {
+Test(call_charges, failed_connections_do_not_count) {
     call_charges charges;
     send(charges, calls_with_prefill);
     note_prefill_end(charges, call_result::unreachable);
     cr_assert_eq(send(charges, 1), 0);
     note_decode_unreachable(charges);
     cr_assert_eq(send(charges, 1), 0);
-    // The second decode that arrives is a repeat.
+    // The second decode that reaches a server is a retry.
     cr_assert_eq(send(charges, 1), 1);
 }
--- a/libs/mintknotd-platform/policy/tests/test_crash_evidence.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_crash_evidence.cpp
@@ -19,13 +19,14 @@
     return {digest, 10};
 }
 
-/// Evidence and a clock that is moved by hand.
+/// Crash evidence with a manually advanced clock.
 struct evidence_fixture {
     crash_evidence evidence;
     base::steady_time now = start;
     std::string last_incarnation;
 
-    /// A moment after the one before, unless the server's life is the same.
+    /// Records a crash, later than the previous one unless it is of the same
+    /// server incarnation.
     void crash(
         const std::string& digest, const std::string& incarnation,
         milliseconds ran_for = short_run) {
@@ -47,7 +48,7 @@
 
 } // namespace
 
-Test(crash_evidence, three_servers_that_ended_block_a_request) {
+Test(crash_evidence, three_server_crashes_block_a_request) {
     evidence_fixture l;
     l.crash("c", "a");
     l.crash("c", "b");
@@ -61,14 +62,14 @@
     cr_assert(!l.blocked("c"));
 }
 
-Test(crash_evidence, one_end_that_many_tell_of_counts_once) {
+Test(crash_evidence, a_crash_with_several_reports_counts_once) {
     evidence_fixture l;
     for (int i = 0; i < 5; ++i)
         l.crash("c", "a");
     cr_assert(l.evaluate_after().empty());
 }
 
-Test(crash_evidence, whoever_ran_beside_the_cause_is_not_blocked) {
+Test(crash_evidence, a_request_beside_the_cause_is_not_blocked) {
     evidence_fixture l;
     for (const char* incarnation : {"a", "b", "d"}) {
         l.crash("beside", incarnation, long_run);
@@ -79,7 +80,7 @@
     cr_assert(!l.blocked("beside"));
 }
 
-Test(crash_evidence, whoever_is_due_before_the_cause_is_not_blocked_either) {
+Test(crash_evidence, a_request_evaluated_before_the_cause_is_not_blocked) {
     evidence_fixture l;
     l.crash("beside", "z", long_run);
     for (const char* incarnation : {"a", "b"}) {
@@ -93,7 +94,7 @@
     cr_assert(l.blocked("cause"));
 }
 
-Test(crash_evidence, many_servers_that_end_at_once_block_nothing) {
+Test(crash_evidence, simultaneous_crashes_block_nothing) {
     evidence_fixture l;
     for (int i = 0; i < 8; ++i) {
         l.now += milliseconds(15);
@@ -106,7 +107,7 @@
     cr_assert(!l.blocked("common"));
 }
 
-Test(crash_evidence, of_several_runs_on_a_server_the_longest_counts) {
+Test(crash_evidence, the_longest_of_several_runs_on_a_server_counts) {
     evidence_fixture l;
     for (const char* incarnation : {"a", "b", "d"}) {
         l.crash("common", incarnation, short_run);
@@ -115,7 +116,7 @@
     cr_assert(l.evaluate_after().empty());
 }
 
-Test(crash_evidence, what_came_to_a_server_that_had_ended_is_not_to_blame) {
+Test(crash_evidence, requests_sent_after_the_crash_are_not_counted) {
     evidence_fixture l;
     for (const char* incarnation : {"a", "b", "d"}) {
         l.crash("cause", incarnation);
@@ -131,7 +132,7 @@
     cr_assert(!l.evidence.suspects.contains("refused"));
 }
 
-Test(crash_evidence, a_whole_answer_clears_a_request) {
+Test(crash_evidence, a_complete_answer_clears_a_request) {
     evidence_fixture l;
     l.crash("c", "a");
     l.crash("c", "b");
@@ -141,7 +142,7 @@
     cr_assert(!clear(l.evidence, "unknown", l.now));
 }
 
-Test(crash_evidence, after_a_block_one_more_crash_blocks_for_longer) {
+Test(crash_evidence, a_crash_after_a_block_doubles_the_block_time) {
     evidence_fixture l;
     for (const char* incarnation : {"a", "b", "d"})
         l.crash("c", incarnation);
@@ -154,7 +155,7 @@
     cr_assert(again[0].times == 2);
 }
 
-Test(crash_evidence, blocks_are_taken_from_others_and_told_once) {
+Test(crash_evidence, block_notices_of_peers_are_applied_once) {
     evidence_fixture l;
     const block_entry entry{key("c"), milliseconds(5000), 1};
     cr_assert(note_block(l.evidence, entry, l.now));
@@ -166,7 +167,7 @@
     cr_assert(!l.blocked("c"));
 }
 
-Test(crash_evidence, news_that_are_older_than_the_clearing_do_not_block) {
+Test(crash_evidence, notices_older_than_the_clearing_do_not_block) {
     evidence_fixture l;
     const block_entry entry{key("c"), milliseconds(50000), 1};
     note_block(l.evidence, entry, l.now);
@@ -176,13 +177,13 @@
     cr_assert(recently_cleared(l.evidence, "c", l.now));
 }
 
-Test(crash_evidence, no_peer_can_block_for_longer_than_a_block_lasts) {
+Test(crash_evidence, a_notice_cannot_exceed_the_block_time) {
     evidence_fixture l;
     note_block(l.evidence, {key("c"), milliseconds::max() / 4, 1}, l.now);
     cr_assert(*blocked_for(l.evidence, "c", l.now) == first_block_time);
 }
 
-Test(crash_evidence, a_flood_of_requests_does_not_push_out_a_suspect) {
+Test(crash_evidence, many_requests_do_not_evict_a_suspect) {
     evidence_fixture l;
     l.crash("c", "a");
     l.crash("c", "b");
@@ -195,7 +196,7 @@
     cr_assert(l.evaluate_after().size() == 1);
 }
 
-Test(crash_evidence, what_is_long_past_is_dropped) {
+Test(crash_evidence, old_entries_expire) {
     evidence_fixture l;
     for (const char* incarnation : {"a", "b", "d"})
         l.crash("c", incarnation);
--- a/libs/mintknotd-platform/policy/tests/test_entry_check.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_entry_check.cpp
@@ -36,14 +36,14 @@
 
 } // namespace
 
-Test(entry_check, a_request_begins_on_its_route) {
+Test(entry_check, a_request_is_routed) {
     const traffic::configuration config = one_route();
     const entry_decision decision = check(conditions_of(config));
     cr_assert(decision.route != nullptr && decision.route->name == "r");
     cr_assert(decision.service != nullptr && decision.service->name == "s");
 }
 
-Test(entry_check, without_a_configuration_callers_come_back) {
+Test(entry_check, without_a_configuration_callers_are_told_to_retry) {
     const entry_decision decision = check({});
     cr_assert(decision.service == nullptr);
     cr_assert_eq(decision.status, 503);
@@ -51,7 +51,7 @@
     cr_assert(decision.retry_after.has_value());
 }
 
-Test(entry_check, what_has_no_route_is_not_found) {
+Test(entry_check, a_request_without_a_route_is_not_found) {
     const traffic::configuration config = one_route();
     const entry_decision decision =
         check_entry(conditions_of(config), {"h", "/other", std::nullopt}, 0.5);
@@ -59,7 +59,7 @@
     cr_assert(!decision.retry_after);
 }
 
-Test(entry_check, late_in_a_stop_no_stream_begins) {
+Test(entry_check, streams_are_refused_late_in_a_stop) {
     const traffic::configuration config = one_route();
     entry_conditions conditions = conditions_of(config);
     conditions.stopping = true;
@@ -68,7 +68,7 @@
     cr_assert(check(conditions).reason == "stopping");
 }
 
-Test(entry_check, bodies_are_bounded_in_all) {
+Test(entry_check, the_total_size_of_bodies_is_bounded) {
     const traffic::configuration config = one_route();
     entry_conditions conditions = conditions_of(config);
     conditions.open_body_bytes = 101;
@@ -100,14 +100,14 @@
 
 } // namespace
 
-Test(entry_check, a_key_tells_whose_request_it_is) {
+Test(entry_check, a_key_identifies_the_organisation) {
     const traffic::configuration config = with_organisations();
     const entry_decision decision = check_with(conditions_of(config), "key");
     cr_assert(decision.service != nullptr);
     cr_assert(decision.organisation->name == "o");
 }
 
-Test(entry_check, an_unknown_key_is_refused_for_good) {
+Test(entry_check, an_unknown_key_is_refused_without_retry) {
     const traffic::configuration config = with_organisations();
     for (const auto& key : {std::optional<std::string>{}, {"other"}}) {
         const entry_decision decision = check_with(conditions_of(config), key);
@@ -117,7 +117,7 @@
     }
 }
 
-Test(entry_check, old_knowledge_is_refused_for_now) {
+Test(entry_check, a_stale_configuration_is_refused_with_retry) {
     const traffic::configuration config = with_organisations();
     entry_conditions conditions = conditions_of(config);
     conditions.freshness = {milliseconds{9000}, milliseconds{5000}};
--- a/libs/mintknotd-platform/policy/tests/test_lease.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_lease.cpp
@@ -13,11 +13,11 @@
 
 } // namespace
 
-Test(lease, nobody_takes_what_has_not_been_read) {
+Test(lease, an_unread_row_cannot_be_taken) {
     cr_assert(!may_take({}, "me", terms, start));
 }
 
-Test(lease, a_missing_row_and_the_own_one_are_free) {
+Test(lease, a_missing_row_and_the_own_row_can_be_taken) {
     lease_view view;
     observe(view, 0, "", start);
     cr_assert(may_take(view, "me", terms, start));
@@ -25,7 +25,7 @@
     cr_assert(may_take(view, "me", terms, start));
 }
 
-Test(lease, anothers_row_must_rest_until_its_holder_cannot_order) {
+Test(lease, a_foreign_row_can_be_taken_once_its_holder_is_inactive) {
     lease_view view;
     observe(view, 7, "other", start);
     const auto takeover_delay =
@@ -33,7 +33,7 @@
     cr_assert(
         !may_take(view, "me", terms, start + takeover_delay - milliseconds(1)));
     cr_assert(may_take(view, "me", terms, start + takeover_delay));
-    // A new version begins the rest anew; seeing it again does not.
+    // A new version restarts the wait; reading it again does not.
     observe(view, 8, "other", start + takeover_delay);
     observe(view, 8, "other", start + takeover_delay + milliseconds(500));
     cr_assert(!may_take(
@@ -42,10 +42,10 @@
         may_take(view, "me", terms, start + takeover_delay + takeover_delay));
 }
 
-Test(lease, between_orders_of_two_holders_lies_a_lease) {
-    // The worst case: the old holder orders at the very end of its use, which
-    // it counts from before its call; the new one has seen the row just when
-    // it was written.
+Test(lease, orders_of_two_holders_are_a_lease_length_apart) {
+    // Worst case: the old holder sends an order at the very end of its order
+    // period, which starts before its acquiring call, and the new holder has
+    // read the row at the time it was written.
     const held_lease old_lease{7, start};
     const auto last_order = start + terms.order_period - milliseconds(1);
     cr_assert(may_order(old_lease, terms, last_order));
@@ -57,6 +57,6 @@
         cr_assert(!may_take(view, "new", terms, now));
 }
 
-Test(lease, without_a_fence_nothing_is_ordered) {
+Test(lease, no_order_is_sent_without_a_fence) {
     cr_assert(!may_order({0, start}, terms, start));
 }
--- a/libs/mintknotd-platform/policy/tests/test_retry_allowance.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_retry_allowance.cpp
@@ -11,7 +11,8 @@
 const retry_bounds bounds{0.2, 50.0, base::milliseconds(10000)};
 const fleet_usage alone;
 
-/// For an instance that has long been running.
+/// Spends retries until none is left, by default for an instance that has been
+/// running for long.
 int spend_all(
     retry_allowance& allowance, std::size_t instances, const fleet_usage& fleet,
     base::steady_time now, base::steady_time started = {}) {
@@ -24,8 +25,8 @@
 
 } // namespace
 
-Test(retry_allowance, parts_of_all_instances_stay_within_the_extra) {
-    // The worst case: everybody spends whatever there is, all the time.
+Test(retry_allowance, the_shares_of_all_instances_stay_within_extra) {
+    // Worst case: all instances always spend as much as they can.
     constexpr int instances = 10;
     int spent = 0;
     for (int i = 0; i < instances; ++i) {
@@ -38,7 +39,7 @@
     cr_assert(spent <= 50, "spent %d", spent);
 }
 
-Test(retry_allowance, requests_earn_repeats) {
+Test(retry_allowance, requests_earn_retries) {
     retry_allowance allowance;
     spend_all(allowance, 10, alone, start);
     for (int i = 0; i < 10; ++i)
@@ -46,7 +47,7 @@
     cr_assert(spend_all(allowance, 10, alone, start) == 2);
 }
 
-Test(retry_allowance, what_peers_leave_may_be_spent) {
+Test(retry_allowance, unused_retries_of_peers_may_be_spent) {
     retry_allowance allowance;
     const fleet_usage idle{{100, 0}, 9};
     const int spent = spend_all(allowance, 10, idle, start);
@@ -55,14 +56,14 @@
     cr_assert(spent <= 50, "spent %d", spent);
 }
 
-Test(retry_allowance, stops_when_the_fleet_has_spent_nearly_all) {
+Test(retry_allowance, stops_when_the_group_has_spent_nearly_all) {
     retry_allowance allowance;
     const fleet_usage busy{{100, 62}, 9};
     cr_assert(spend_all(allowance, 10, busy, start) == 0);
 }
 
-Test(retry_allowance, a_fresh_start_spends_what_it_earns_and_no_more) {
-    // The earlier life may have spent everything within the same window.
+Test(retry_allowance, a_restarted_instance_spends_only_what_it_earns) {
+    // Before its restart it may have spent everything in the same window.
     const fleet_usage idle{{100, 0}, 9};
     retry_allowance allowance;
     cr_assert(spend_all(allowance, 10, idle, start, start) == 0);
@@ -75,7 +76,7 @@
     cr_assert(spend_all(allowance, 10, idle, later, start) > 30);
 }
 
-Test(retry_allowance, both_sides_of_a_cut_stay_within_the_bound) {
+Test(retry_allowance, both_sides_of_a_partition_stay_within_the_bound) {
     // Six instances hear each other, and so do the other three of nine.
     int spent = 0;
     for (const std::size_t side : {6, 3}) {
@@ -90,7 +91,7 @@
     cr_assert(spent <= 50, "spent %d", spent);
 }
 
-Test(retry_allowance, usage_slides) {
+Test(retry_allowance, usage_leaves_the_sliding_window) {
     retry_allowance allowance;
     earn_retries(allowance, bounds, start);
     cr_assert(spend_retry(allowance, bounds, {10, alone}, start));
@@ -102,7 +103,7 @@
     cr_assert(later.retries == 0);
 }
 
-Test(retry_allowance, a_window_of_another_length_counts_anew) {
+Test(retry_allowance, a_changed_window_length_resets_the_counts) {
     retry_allowance allowance;
     earn_retries(allowance, bounds, start);
     cr_assert(spend_retry(allowance, bounds, {10, alone}, start));
--- a/libs/mintknotd-platform/policy/tests/test_retry_bound.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_retry_bound.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The bound on repeats over a whole group whose instances hear of each other
-/// late, as they do in large groups.
+/// Simulates the bound on retries for a group whose instances know the usage of
+/// each other only with a delay, as in large groups.
 
 #include <mintknot/policy/retry_allowance.hpp>
 
@@ -17,12 +17,12 @@
 
 constexpr std::size_t instances = 58;
 constexpr int requests_per_second = 356;
-/// Calls that full servers turn away are sent again up to so often.
+/// Number of retries of a call that full servers reject.
 constexpr int retries_wanted = 3;
 const retry_bounds bounds{0.2, 156.0, milliseconds{10000}};
 const base::steady_time begin = base::steady_time{} + std::chrono::hours(1);
 
-/// One instance, and what the others have last heard of it.
+/// An instance and its usage as last reported to the others.
 struct member {
     retry_allowance allowance;
     retry_usage reported;
@@ -31,13 +31,13 @@
 
 class group {
 public:
-    /// @param heartbeat_interval time between two heartbeats of one instance.
+    /// @param heartbeat_interval time between two heartbeats of an instance.
     explicit group(milliseconds heartbeat_interval)
         : heartbeat_interval_(heartbeat_interval)
         , members_(instances) {}
 
-    /// Plays so long. @return the most that was used of the bound in any
-    /// window, as a share of what the bound allows.
+    /// Simulates a period.
+    /// @return the maximum usage in any window, as a fraction of the bound.
     double simulate(milliseconds time, bool servers_full) {
         double largest = 0.0;
         const base::steady_time end = now_ + time;
@@ -102,12 +102,12 @@
 
 } // namespace
 
-Test(retry_bound, holds_where_heartbeats_follow_each_change) {
+Test(retry_bound, holds_with_frequent_heartbeats) {
     const double share = largest_share(milliseconds{60});
     cr_assert(share <= 1.0, "%.2f of the bound were used", share);
 }
 
-Test(retry_bound, holds_where_other_data_centres_are_told_rarely) {
+Test(retry_bound, holds_with_rare_heartbeats_between_data_centres) {
     const double share = largest_share(milliseconds{1200});
     cr_assert(share <= 1.0, "%.2f of the bound were used", share);
 }
--- a/libs/mintknotd-platform/policy/tests/test_retry_quota.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_retry_quota.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// The bound on repeats in large groups, played in virtual time: full servers
-/// turn calls away, and instances lend each other repeats by datagrams that are
-/// late, lost or cut off.
+/// Simulates the bound on retries in large groups in virtual time: full servers
+/// reject calls, and instances lend each other retries by datagrams that are
+/// delayed, lost or blocked by a network partition.
 
 #include <mintknot/policy/retry_quota.hpp>
 
@@ -21,32 +21,32 @@
 
 const base::steady_time begin = base::steady_time{} + std::chrono::hours(1);
 constexpr milliseconds tick{50};
-/// Calls that full servers turn away are sent again up to so often.
+/// Number of retries of a call that full servers reject.
 constexpr int retries_wanted = 3;
-/// As the lending of the runtime: peers asked at a time, and how often.
+/// Same values as in the runtime: peers queried at once, and the interval.
 constexpr int peers_queried = 4;
 constexpr milliseconds query_interval{250};
 
-/// A group and its load.
+/// Parameters of a simulated group and its load.
 struct simulation_options {
     std::size_t instances = 295;
     std::size_t data_centres = 5;
-    double requests_per_instance = 1.3; ///< In a second.
+    double requests_per_instance = 1.3; ///< Per second.
     double extra = 630.0;
-    milliseconds delay{3}; ///< Of a datagram.
-    double loss = 0.0;     ///< Share of the datagrams.
-    /// @return true where requests of that instance meet full servers.
+    milliseconds delay{3}; ///< One-way delay of a datagram.
+    double loss = 0.0;     ///< Fraction of the datagrams.
+    /// @return true if requests of that instance are rejected by full servers.
     std::function<bool(std::size_t instance)> overloaded = [](std::size_t) {
         return true;
     };
     std::size_t partitioned_data_centre = SIZE_MAX;
-    /// Instances that are killed and started again at a time.
+    /// Number of instances that are killed and restarted at once.
     std::size_t killed = 0;
     milliseconds kill_gap{2000};
     unsigned seed = 1;
 };
 
-/// A datagram that lends, on its way.
+/// A datagram with a loan, in transit.
 struct loan_datagram {
     base::steady_time arrives;
     std::size_t to = 0;
@@ -60,11 +60,11 @@
     base::steady_time queried_at{};
 };
 
-/// What a play has come to.
+/// Result of a simulation.
 struct outcome {
-    double largest_share = 0.0; ///< Of the bound, in any window.
+    double largest_share = 0.0; ///< Used of the bound, in any window.
     double last_share = 0.0;    ///< In the last window.
-    double granted = 1.0;       ///< Share of the repeats that were wanted.
+    double granted = 1.0;       ///< Fraction of the retries wanted.
 };
 
 class group {
@@ -76,7 +76,8 @@
         bounds_.extra = options.extra;
     }
 
-    /// Plays so long. @return what was used of the bound.
+    /// Simulates a period.
+    /// @return the usage of the bound.
     outcome simulate(milliseconds time, bool servers_full) {
         const base::steady_time end = now_ + time;
         outcome seen;
@@ -93,7 +94,7 @@
         return seen;
     }
 
-    /// Every instance is killed and starts again.
+    /// Kills and restarts all instances.
     void restart_all() {
         for (member& each : members_)
             each = {{}, now_, {}};
@@ -200,7 +201,7 @@
     int granted_ = 0;
 };
 
-/// A calm time, then one in which servers are full.
+/// Simulates a period without faults, then one with full servers.
 outcome simulate(const simulation_options& options) {
     group all(options);
     all.simulate(std::chrono::seconds(12), false);
@@ -209,7 +210,8 @@
 
 constexpr unsigned seeds = 10;
 
-/// Plays with several seeds. @return the largest and the smallest shares.
+/// Simulates with several seeds.
+/// @return the worst value of each result.
 outcome simulate_seeds(simulation_options options) {
     outcome worst{0.0, 1e9, 1.0};
     for (options.seed = 1; options.seed <= seeds; ++options.seed) {
@@ -240,28 +242,28 @@
 
 } // namespace
 
-Test(repeat_rights, bound_is_kept_and_used_when_all_of_295_meet_trouble) {
+Test(repeat_rights, all_of_295_instances_keep_and_use_the_bound) {
     expect(simulate_seeds(fleet_of(295, 5)), 0.55);
 }
 
-Test(repeat_rights, bound_is_kept_and_used_when_all_of_400_meet_trouble) {
+Test(repeat_rights, all_of_400_instances_keep_and_use_the_bound) {
     expect(simulate_seeds(fleet_of(400, 15)), 0.55);
 }
 
-Test(repeat_rights, bound_is_kept_at_58_with_a_heavier_load) {
+Test(repeat_rights, a_group_of_58_with_more_load_keeps_the_bound) {
     simulation_options options = fleet_of(58, 3);
     options.requests_per_instance = 6.2;
     options.extra = 156.0;
     expect(simulate_seeds(options), 0.8);
 }
 
-Test(repeat_rights, one_data_centre_in_trouble_borrows_from_the_others) {
+Test(repeat_rights, one_overloaded_data_centre_borrows_from_the_others) {
     simulation_options options = fleet_of(295, 5);
     options.overloaded = [](std::size_t index) { return index % 5 == 0; };
     expect(simulate_seeds(options), 0.4);
 }
 
-Test(repeat_rights, one_instance_in_trouble_borrows_what_its_callers_need) {
+Test(repeat_rights, one_overloaded_instance_borrows_enough) {
     simulation_options options = fleet_of(295, 5);
     options.overloaded = [](std::size_t index) { return index == 7; };
     const outcome seen = simulate_seeds(options);
@@ -269,20 +271,20 @@
     cr_assert(seen.granted >= 0.8, "%.2f of what was wanted", seen.granted);
 }
 
-Test(repeat_rights, late_and_lost_datagrams_only_waste_loans) {
+Test(repeat_rights, delayed_and_lost_datagrams_only_waste_loans) {
     simulation_options options = fleet_of(295, 5);
     options.delay = milliseconds(900);
     options.loss = 0.3;
     expect(simulate_seeds(options), 0.4);
 }
 
-Test(repeat_rights, a_data_centre_that_is_cut_off_keeps_the_bound) {
+Test(repeat_rights, a_partitioned_data_centre_keeps_the_bound) {
     simulation_options options = fleet_of(295, 5);
     options.partitioned_data_centre = 2;
     expect(simulate_seeds(options), 0.55);
 }
 
-Test(repeat_rights, instances_that_come_and_go_by_the_dozen_keep_the_bound) {
+Test(repeat_rights, frequent_restarts_keep_the_bound) {
     simulation_options options = fleet_of(295, 5);
     options.killed = 24;
     expect(simulate_seeds(options), 0.35);
@@ -290,7 +292,7 @@
 
 namespace {
 
-/// Trouble, a kill of all after eleven seconds of it, and trouble still.
+/// Simulates full servers with a restart of all instances after eleven seconds.
 void simulate_restart(simulation_options options, double least) {
     for (options.seed = 1; options.seed <= seeds; ++options.seed) {
         group all(options);
@@ -306,17 +308,17 @@
 
 } // namespace
 
-Test(repeat_rights, a_kill_of_all_amid_trouble_keeps_the_bound) {
+Test(repeat_rights, a_restart_of_all_under_overload_keeps_the_bound) {
     simulate_restart(fleet_of(295, 5), 0.55);
 }
 
-Test(repeat_rights, a_kill_of_all_keeps_the_bound_where_the_extra_is_most) {
+Test(repeat_rights, a_restart_of_all_keeps_a_bound_that_is_mostly_extra) {
     simulation_options options = fleet_of(295, 5);
     options.requests_per_instance = 0.3;
     simulate_restart(options, 0.4);
 }
 
-Test(repeat_rights, a_loan_counts_from_before_it_was_asked_for) {
+Test(repeat_rights, a_loan_expires_relative_to_its_request) {
     const retry_bounds bounds{0.2, 630.0, milliseconds{10000}};
     const spend_terms terms{295, {}, begin - std::chrono::hours(1)};
     retry_allowance allowance;
@@ -333,10 +335,10 @@
     cr_assert(later == 1, "spent %d of an own quota of 1.9", later);
 }
 
-Test(repeat_rights, a_lender_counts_a_loan_as_its_own) {
+Test(repeat_rights, a_lender_counts_a_loan_as_spent) {
     const retry_bounds bounds{0.2, 2950.0, milliseconds{10000}};
     const spend_terms terms{295, {}, begin - std::chrono::hours(1)};
-    retry_allowance allowance; // Its part is nine.
+    retry_allowance allowance; // Its quota is nine.
     cr_assert(lend_retries(allowance, bounds, terms, max_loan, begin) == 4);
     int spent = 0;
     while (spent < 20 && spend_retry(allowance, bounds, terms, begin))
--- a/libs/mintknotd-platform/policy/tests/test_row_expiry.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_row_expiry.cpp
@@ -6,26 +6,25 @@
 using namespace mintknot::policy;
 using std::chrono::milliseconds;
 
-Test(row_expiry, rows_have_less_time_than_the_drain_bound) {
+Test(row_expiry, the_recovery_time_is_below_the_drain_bound) {
     cr_assert(row_recovery_time(milliseconds{1200}) == milliseconds{800});
     cr_assert(row_recovery_time(milliseconds{9000}) == milliseconds{1600});
     cr_assert(row_recovery_time(milliseconds{100}) == removal_batch_time);
 }
 
-Test(row_expiry, a_removal_is_not_held_beyond_the_drain_bound) {
+Test(row_expiry, a_removal_is_not_delayed_beyond_the_drain_bound) {
     constexpr milliseconds bound{2000};
     const mintknot::base::steady_time seen{};
     const auto limit =
         removal_hold_deadline(seen, bound, seen + milliseconds{300});
     cr_assert(limit + request_travel_time == seen + bound);
-    // What went while the store was out of reach for longer may only have
-    // lapsed.
+    // If the store was unreachable for longer, the row has more likely expired.
     const auto never = mintknot::base::steady_time::max();
     cr_assert(removal_hold_deadline(seen, bound, seen + bound) == never);
     cr_assert(removal_hold_deadline(std::nullopt, bound, seen) == never);
 }
 
-Test(row_expiry, a_quarter_of_all_servers_does_not_leave_at_once) {
+Test(row_expiry, removals_of_a_quarter_of_the_servers_are_no_departures) {
     cr_assert(!is_mass_removal(2, 2));
     cr_assert(is_mass_removal(3, 8));
     cr_assert(!is_mass_removal(4, 20));
--- a/libs/mintknotd-platform/policy/tests/test_server_rest.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_server_rest.cpp
@@ -12,7 +12,7 @@
 
 const base::steady_time start{std::chrono::hours(1)};
 
-/// Servers of a plain and of a model service, and what is known of them.
+/// Servers of a plain service and of a model service, with their state.
 struct fixture {
     fixture() {
         for (const char* id : {"a", "b"})
@@ -51,7 +51,7 @@
 
 } // namespace
 
-Test(server_rest, lasts_as_long_as_was_asked_for_and_no_longer) {
+Test(server_rest, lasts_as_long_as_requested_up_to_the_maximum) {
     rest_view view;
     cr_assert(note_rest(view, "s", milliseconds(3000), start));
     cr_assert(!note_rest(view, "s", milliseconds(500), start));
@@ -63,7 +63,7 @@
     cr_assert(rest_end(view, "u") == start + max_rest);
 }
 
-Test(server_rest, a_resting_server_is_not_chosen_where_there_is_no_other) {
+Test(server_rest, a_resting_server_is_not_chosen_without_alternative) {
     fixture f;
     note_rest(f.health.resting, "a", milliseconds(3000), start);
     cr_assert(f.place(f.app, placement_kind::plain).server == "b");
@@ -75,7 +75,7 @@
         milliseconds(2000));
 }
 
-Test(server_rest, a_forecast_of_room_waits_for_the_first_end_of_a_rest) {
+Test(server_rest, the_capacity_forecast_waits_for_the_first_rest_end) {
     fixture f;
     note_rest(f.health.resting, "d1", milliseconds(3000), start);
     note_rest(f.health.resting, "d2", milliseconds(2000), start);
@@ -84,7 +84,7 @@
     cr_assert(placed.room.forecast.wait == milliseconds(2000));
 }
 
-Test(server_rest, a_scheduler_is_told_of_servers_that_rest_here) {
+Test(server_rest, resting_servers_are_excluded_from_scheduler_queries) {
     fixture f;
     note_rest(f.health.resting, "a", milliseconds(3000), start);
     placement_query query;
--- a/libs/mintknotd-platform/policy/tests/test_usage_account.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_usage_account.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 const base::steady_time start = base::steady_time{} + std::chrono::hours(1);
-/// One token a millisecond, a second of it at once, and 200 below zero.
+/// One token per millisecond, a burst of 1000 and an overdraft of 200.
 const account_terms terms{1.0, 1000.0, 200.0};
 
 base::steady_time at(int ms) {
@@ -33,25 +33,25 @@
     cr_assert(draw(account, terms, 50.0, start).granted);
 }
 
-Test(usage_account, it_earns_its_rate_up_to_the_burst) {
+Test(usage_account, an_account_earns_its_rate_up_to_the_burst) {
     usage_account account;
     draw(account, terms, 200.0, start);
     cr_assert(!draw(account, terms, 100.0, at(99)).granted);
     cr_assert(draw(account, terms, 100.0, at(101)).granted);
-    // After an hour there is the burst, not an hour's worth.
+    // After an hour it holds the burst, not the tokens of an hour.
     const int hour = 3600 * 1000;
     cr_assert(draw(account, terms, 1200.0, at(hour)).granted);
     cr_assert(!draw(account, terms, 10.0, at(hour)).granted);
 }
 
-Test(usage_account, what_costs_more_than_the_burst_waits_for_a_full_account) {
+Test(usage_account, a_cost_above_the_burst_needs_a_full_account) {
     usage_account account = full_account();
     cr_assert(draw(account, terms, 5000.0, start).granted);
     cr_assert(!draw(account, terms, 1.0, at(3000)).granted);
     cr_assert(draw(account, terms, 1.0, at(4001)).granted);
 }
 
-Test(usage_account, what_is_given_back_can_be_drawn_again) {
+Test(usage_account, returned_tokens_can_be_drawn_again) {
     usage_account account;
     draw(account, terms, 200.0, start);
     give_back(account, terms, 120.0, start);
@@ -60,7 +60,7 @@
     cr_assert(account.level <= terms.burst);
 }
 
-Test(usage_account, refused_callers_are_told_times_that_follow_each_other) {
+Test(usage_account, refused_callers_get_successive_retry_times) {
     usage_account account;
     draw(account, terms, 200.0, start);
     const milliseconds first = draw(account, terms, 100.0, start).retry_after;
@@ -69,13 +69,13 @@
     cr_assert(first == milliseconds{100});
     cr_assert(second == milliseconds{200});
     cr_assert(third == milliseconds{300});
-    // Whoever comes then is let in.
+    // A caller that retries at its time is admitted.
     cr_assert(draw(account, terms, 100.0, at(100)).granted);
     cr_assert(draw(account, terms, 100.0, at(200)).granted);
     cr_assert(draw(account, terms, 100.0, at(300)).granted);
 }
 
-Test(usage_account, return_times_are_bounded) {
+Test(usage_account, retry_times_are_bounded) {
     usage_account account;
     for (int i = 0; i < 1000; ++i) {
         const draw_result drawn = draw(account, terms, 150.0, start);
@@ -86,7 +86,7 @@
     }
 }
 
-Test(usage_account, a_lower_limit_takes_the_burst_along) {
+Test(usage_account, a_lower_limit_also_lowers_the_burst) {
     usage_account account = full_account();
     const account_terms lower{0.1, 100.0, 20.0};
     cr_assert(draw(account, lower, 100.0, at(1)).granted);
@@ -104,7 +104,7 @@
     cr_assert(usage_cost(limit, 0.0) == 1.0);
 }
 
-Test(usage_account, shares_of_a_settled_group_are_the_whole) {
+Test(usage_account, the_keeper_of_a_settled_group_has_the_whole_limit) {
     const account_shares shares =
         shares_of({30, 88, 0, std::chrono::seconds(60)});
     cr_assert(shares.keeper == 1.0);
@@ -112,14 +112,14 @@
     cr_assert_float_eq(shares.own, 1.0 / 88.0, 1e-9);
 }
 
-Test(usage_account, shares_beyond_a_cut_never_add_up_to_more_than_the_whole) {
+Test(usage_account, shares_of_a_partitioned_group_do_not_exceed_the_limit) {
     const std::chrono::seconds uptime(60);
     const account_shares here = shares_of({30, 30, 58, uptime});
     const account_shares there = shares_of({29, 58, 30, uptime});
     cr_assert(here.keeper + there.keeper <= 1.0 + 1e-9);
 }
 
-Test(usage_account, who_has_just_started_alone_does_not_take_all) {
+Test(usage_account, an_instance_just_started_does_not_take_the_whole_limit) {
     cr_assert(shares_of({1, 1, 0, milliseconds{100}}).keeper <= 0.1);
     cr_assert(shares_of({1, 1, 0, std::chrono::seconds(10)}).keeper == 1.0);
 }
