--- a/libs/mintknotd-platform/policy/include/mintknot/policy/attempts.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/attempts.hpp
@@ -51,7 +51,7 @@
     action otherwise = action::give_up;
     std::string_view otherwise_reason;
     /// For give_up: no server was within reach. The caller is told to come back
-    /// after as long as the outage has lasted (return_time.hpp).
+    /// after as long as the outage has lasted (retry_after.hpp).
     bool server_out_of_reach = false;
 };
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/call_charges.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/call_charges.hpp
@@ -27,7 +27,7 @@
 /// that the first of so many calls may be sent.
 int retries_to_prepay(const call_charges& charges, int calls);
 
-/// A call goes out. Precondition: repeats_to_prepay() have been prepaid.
+/// A call goes out. Precondition: retries_to_prepay() have been prepaid.
 void note_sent(call_charges& charges);
 
 /// A prefill has ended with that result.
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/crash_evidence.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/crash_evidence.hpp
@@ -4,7 +4,7 @@
 /// A request is known by its digest (relay/request_digest.hpp), whatever its ID
 /// and the instance that it comes to. Whenever a server has ended without a
 /// word, each instance tells which requests it had running there; some
-/// instances put this together (group.hpp, judges_of_crashes()). A request
+/// instances put this together (group.hpp, crash_evaluators()). A request
 /// under which three servers have ended is refused everywhere for a while.
 ///
 /// Others that ran beside it look like it. What tells them apart: they get
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/retry_allowance.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/retry_allowance.hpp
@@ -8,7 +8,7 @@
 ///   much as their last heartbeats show, some 60 ms ago. Against own parts
 ///   alone this changed worth by 0.016 at most (ten plays or more each on three
 ///   deployments); it matters where one instance meets the trouble.
-/// - Large groups (repeat_rights.hpp): heartbeats are up to several seconds old
+/// - Large groups (retry_quota.hpp): heartbeats are up to several seconds old
 ///   there, and all instances together would spend the same remainder in the
 ///   meantime. Only the own part is spent, and what a peer has lent.
 ///
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/retry_quota.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/retry_quota.hpp
@@ -27,7 +27,8 @@
 /// Some hundred times the way there and back; longer loans would lie idle.
 inline constexpr base::milliseconds loan_lifetime{2000};
 
-/// Most repeats that one question may ask for. See low_water in the source.
+/// Most repeats that one question may ask for. See loan_threshold in the
+/// source.
 inline constexpr int max_loan = 8;
 
 /// Takes one repeat, a borrowed one first: that one lapses sooner.
--- a/libs/mintknotd-platform/policy/src/retry_quota.cpp
+++ b/libs/mintknotd-platform/policy/src/retry_quota.cpp
@@ -13,7 +13,7 @@
 /// Part of the bound that is given out. An instance spends most when its window
 /// holds most requests, and not all do so at one time: with the whole of it, 58
 /// instances of 6 requests a second each used up to 1.06 of the bound in some
-/// window (test_repeat_rights.cpp), with this part 0.96.
+/// window (test_retry_quota.cpp), with this part 0.96.
 constexpr double quota_fraction = 0.9;
 /// An instance asks for more when it has fewer repeats left than this: those of
 /// one call that full servers turn away, up to three, are then there.
--- a/libs/mintknotd-platform/relay/tests/test_generation_exchange.cpp
+++ b/libs/mintknotd-platform/relay/tests/test_generation_exchange.cpp
@@ -60,9 +60,7 @@
     cr_assert(f.context.state.loads.own.empty());
 }
 
-Test(
-    generation_exchange,
-    a_failed_prefill_is_retried_for_non_resumable_streams) {
+Test(generation_exchange, non_resumable_streams_retry_a_failed_prefill) {
     relay_fixture f;
     const script broken = [](const received_request&,
                              const event::connection_ptr& link) {
@@ -78,9 +76,7 @@
     cr_assert(d.requests[0].field("From") == "k2");
 }
 
-Test(
-    generation_exchange,
-    without_prefill_engines_decode_engines_do_the_prefill) {
+Test(generation_exchange, prefill_falls_back_to_decode_engines) {
     relay_fixture f;
     scripted_server& d = f.add_server("d", "llm", decode, good_decode());
     cr_assert(f.ask(prompt("/stream/x")).body == all_events);
@@ -158,9 +154,7 @@
     cr_assert(runs == 2);
 }
 
-Test(
-    generation_exchange,
-    without_capacity_requests_are_refused_before_the_prefill) {
+Test(generation_exchange, no_prefill_is_sent_without_decode_capacity) {
     relay_fixture f;
     scripted_server& p = f.add_server("p", "llm", prefill, good_prefill("k1"));
     f.add_server("d", "llm", decode, good_decode());
@@ -202,8 +196,7 @@
     cr_assert(std::stoi(seen.field("Retry-After")) > 4000);
 }
 
-Test(
-    generation_exchange, a_request_placed_on_a_removed_engine_is_placed_again) {
+Test(generation_exchange, a_placement_on_a_removed_engine_is_repeated) {
     int placements = 0;
     scripted_placer scheduler([&](const policy::placement_query&) {
         return policy::placement{.server = ++placements == 1 ? "removed" : "d"};
@@ -228,9 +221,7 @@
 
 } // namespace
 
-Test(
-    generation_exchange,
-    a_draining_engine_gets_no_prefill_from_a_stale_scheduler) {
+Test(generation_exchange, a_draining_engine_gets_no_prefill) {
     // A scheduler that the store had rejected chose an engine that other
     // instances knew to be draining, and the prompt was sent there.
     scripted_placer scheduler([](const policy::placement_query& query) {
@@ -309,8 +300,7 @@
     cr_assert(f.ask(prompt("/stream/x")).body == all_events);
 }
 
-Test(
-    generation_exchange, requests_waiting_at_peers_lengthen_the_expected_wait) {
+Test(generation_exchange, queues_at_peers_lengthen_the_expected_wait) {
     relay_fixture f;
     f.add_server("d", "llm", decode, good_decode());
     for (int i = 0; i < 300; ++i)
@@ -397,9 +387,7 @@
     cr_assert(p.requests.size() == 1);
 }
 
-Test(
-    generation_exchange,
-    a_request_that_may_be_running_waits_beyond_its_target) {
+Test(generation_exchange, a_possibly_running_request_exceeds_its_target) {
     // After all instances had lost power, an engine was silent for a second,
     // and sixteen streams were given up instead of waiting for another engine.
     relay_fixture f;
@@ -418,9 +406,7 @@
     cr_assert(f.ask(prompt("/resume/x", 5000)).body == all_events);
 }
 
-Test(
-    generation_exchange,
-    a_waiting_request_is_refused_before_its_caller_leaves) {
+Test(generation_exchange, refusal_comes_before_the_caller_disconnects) {
     // After a rejected decode a request waited for capacity until its caller
     // had disconnected: the refusal with its Retry-After came too late.
     relay_fixture f;
--- a/libs/mintknotd-platform/runtime/src/repeat_lending.cpp
+++ b/libs/mintknotd-platform/runtime/src/repeat_lending.cpp
@@ -12,7 +12,7 @@
 
 /// Peers that one question goes to. Some have nothing to lend; a fleet in which
 /// one instance needs three repeats for each of its requests granted it 0.83 of
-/// them (test_repeat_rights.cpp).
+/// them (test_retry_quota.cpp).
 constexpr std::size_t max_peers_asked = 4;
 /// Between two questions for a service: the way there and back some dozen
 /// times, and 16 datagrams a second at most.
--- a/libs/mintknotd-platform/runtime/src/repeat_lending.hpp
+++ b/libs/mintknotd-platform/runtime/src/repeat_lending.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// Asks peers for repeats, and lends them. The rule is in
-/// policy/repeat_rights.hpp.
+/// policy/retry_quota.hpp.
 #ifndef MINTKNOT_RUNTIME_REPEAT_LENDING_HPP
 #define MINTKNOT_RUNTIME_REPEAT_LENDING_HPP
 
