--- a/libs/mintknotd-platform/limits/tests/test_usage_bound.cpp
+++ b/libs/mintknotd-platform/limits/tests/test_usage_bound.cpp
@@ -161,7 +161,7 @@
     options.load = overload;
     options.loss = 0.05;
     cr_assert(
-        simulate_worst("5% of requests lost", options, none).largest_window <=
+        simulate_worst("5% of datagrams lost", options, none).largest_window <=
         1.0);
 }
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/phase_plan.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/phase_plan.hpp
@@ -3,10 +3,10 @@
 /// phase.
 ///
 /// Inputs: the engines' rows in the server table, phase changes in progress,
-/// and the demand known to this instance. Without this the score fell by 0.044,
-/// 0.019 and 0.050 (ten simulated runs or more each on three deployments),
-/// because decode memory is the bottleneck on busy days. Log events: `lease`,
-/// `order`.
+/// and the demand known to this instance. Without this the net benefit fell by
+/// 0.044, 0.019 and 0.050 (ten simulated runs or more each on three
+/// deployments), because decode memory is the bottleneck on busy days. Log
+/// events: `lease`, `order`.
 #ifndef MINTKNOT_POLICY_PHASE_PLAN_HPP
 #define MINTKNOT_POLICY_PHASE_PLAN_HPP
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/queue_order.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/queue_order.hpp
@@ -11,8 +11,8 @@
 
 /// Rank of a waiting request; the lowest goes first. Requests that can still
 /// meet their target go first, then those of a route with higher priority, then
-/// earlier arrivals. Without this order the score did not change beyond chance
-/// (0.007 or less), but it is what implements route priorities.
+/// earlier arrivals. Without this order the net benefit did not change beyond
+/// chance (0.007 or less), but it is what implements route priorities.
 struct queue_rank {
     bool late = false; ///< The target latency can no longer be met.
     int priority = 0;  ///< Of the route, 0 is the highest.
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/retry_allowance.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/retry_allowance.hpp
@@ -6,9 +6,9 @@
 // /
 /// - Small groups: an instance spends its own share and retries that its peers
 // /   leave unused according to their latest heartbeats, which are about 60 ms
-// /   old. Compared with own shares alone this changed the score by 0.016 at
-// /   most (at least ten runs on each of three deployments); it helps if only
-// /   one instance needs retries.
+// /   old. Compared with own shares alone this changed the net benefit by
+// /   0.016 at most (at least ten runs on each of three deployments); it helps
+// /   if only one instance needs retries.
 /// - Large groups (retry_quota.hpp): heartbeats are up to several seconds old,
 // /   and all instances would spend the same remainder in the meantime. An
 // /   instance spends only its own quota and retries lent by peers.
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/timeouts.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/timeouts.hpp
@@ -15,17 +15,17 @@
 
 /// @return the time without data after which a prefill engine is given up and
 /// the prompt is read by another one. Log event: `prefill_again` with reason
-/// `prefill_silent`. Without this timeout the score fell by 0.004, 0.007 and
-/// 0.013 (ten simulated runs or more each on three deployments; chance is about
-/// 0.01).
+/// `prefill_silent`. Without this timeout the net benefit fell by 0.004,
+/// 0.007 and 0.013 (ten simulated runs or more each on three deployments;
+/// chance is about 0.01).
 /// @param expected prefill time, from the observed rate of the engine.
 base::milliseconds prefill_timeout(base::milliseconds expected);
 
 /// @return the time without data after which a decode engine is considered
 /// failed, and a resumable stream continues on another one. Log event:
-/// `resumed` with reason `decode_silent`. Without this timeout the score did
-/// not change beyond chance, but a stream on an engine that stops sending ends
-/// only with its deadline.
+/// `resumed` with reason `decode_silent`. Without this timeout the net benefit
+/// did not change beyond chance, but a stream on an engine that stops sending
+/// ends only with its deadline.
 /// @param any_event whether the stream has had its first event.
 base::milliseconds event_timeout(bool any_event);
 
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/usage_account.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/usage_account.hpp
@@ -63,7 +63,7 @@
 /// reserved for granted requests that wait before they run and for a network
 /// partition after a burst (stand_in()). A fraction of 0.5 used 0.02 more of
 /// the bound and served no more requests under light load on two deployments
-/// (scores of 0.733 and 0.808, against 0.731 and 0.813 with 0.3, one run each).
+/// (net benefit 0.733 and 0.808, against 0.731 and 0.813 at 0.3, one run each).
 inline constexpr double overage_share = 0.0;
 
 /// @param share fraction of the limit that this account gets, in (0, 1].
--- a/libs/mintknotd-platform/policy/tests/test_retry_quota.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_retry_quota.cpp
@@ -242,28 +242,28 @@
 
 } // namespace
 
-Test(repeat_rights, all_of_295_instances_keep_and_use_the_bound) {
+Test(retry_quota, all_of_295_instances_keep_and_use_the_bound) {
     expect(simulate_seeds(fleet_of(295, 5)), 0.55);
 }
 
-Test(repeat_rights, all_of_400_instances_keep_and_use_the_bound) {
+Test(retry_quota, all_of_400_instances_keep_and_use_the_bound) {
     expect(simulate_seeds(fleet_of(400, 15)), 0.55);
 }
 
-Test(repeat_rights, a_group_of_58_with_more_load_keeps_the_bound) {
+Test(retry_quota, a_group_of_58_with_more_load_keeps_the_bound) {
     simulation_options options = fleet_of(58, 3);
     options.requests_per_instance = 6.2;
     options.extra = 156.0;
     expect(simulate_seeds(options), 0.8);
 }
 
-Test(repeat_rights, one_overloaded_data_centre_borrows_from_the_others) {
+Test(retry_quota, one_overloaded_data_centre_borrows_from_the_others) {
     simulation_options options = fleet_of(295, 5);
     options.overloaded = [](std::size_t index) { return index % 5 == 0; };
     expect(simulate_seeds(options), 0.4);
 }
 
-Test(repeat_rights, one_overloaded_instance_borrows_enough) {
+Test(retry_quota, one_overloaded_instance_borrows_enough) {
     simulation_options options = fleet_of(295, 5);
     options.overloaded = [](std::size_t index) { return index == 7; };
     const outcome seen = simulate_seeds(options);
@@ -271,20 +271,20 @@
     cr_assert(seen.granted >= 0.8, "%.2f of what was wanted", seen.granted);
 }
 
-Test(repeat_rights, delayed_and_lost_datagrams_only_waste_loans) {
+Test(retry_quota, delayed_and_lost_datagrams_only_waste_loans) {
     simulation_options options = fleet_of(295, 5);
     options.delay = milliseconds(900);
     options.loss = 0.3;
     expect(simulate_seeds(options), 0.4);
 }
 
-Test(repeat_rights, a_partitioned_data_centre_keeps_the_bound) {
+Test(retry_quota, a_partitioned_data_centre_keeps_the_bound) {
     simulation_options options = fleet_of(295, 5);
     options.partitioned_data_centre = 2;
     expect(simulate_seeds(options), 0.55);
 }
 
-Test(repeat_rights, frequent_restarts_keep_the_bound) {
+Test(retry_quota, frequent_restarts_keep_the_bound) {
     simulation_options options = fleet_of(295, 5);
     options.killed = 24;
     expect(simulate_seeds(options), 0.35);
@@ -308,17 +308,17 @@
 
 } // namespace
 
-Test(repeat_rights, a_restart_of_all_under_overload_keeps_the_bound) {
+Test(retry_quota, a_restart_of_all_under_overload_keeps_the_bound) {
     simulate_restart(fleet_of(295, 5), 0.55);
 }
 
-Test(repeat_rights, a_restart_of_all_keeps_a_bound_that_is_mostly_extra) {
+Test(retry_quota, a_restart_of_all_keeps_a_bound_that_is_mostly_extra) {
     simulation_options options = fleet_of(295, 5);
     options.requests_per_instance = 0.3;
     simulate_restart(options, 0.4);
 }
 
-Test(repeat_rights, a_loan_expires_relative_to_its_request) {
+Test(retry_quota, a_loan_expires_relative_to_its_request) {
     const retry_bounds bounds{0.2, 630.0, milliseconds{10000}};
     const spend_terms terms{295, {}, begin - std::chrono::hours(1)};
     retry_allowance allowance;
@@ -335,7 +335,7 @@
     cr_assert(later == 1, "spent %d of an own quota of 1.9", later);
 }
 
-Test(repeat_rights, a_lender_counts_a_loan_as_spent) {
+Test(retry_quota, a_lender_counts_a_loan_as_spent) {
     const retry_bounds bounds{0.2, 2950.0, milliseconds{10000}};
     const spend_terms terms{295, {}, begin - std::chrono::hours(1)};
     retry_allowance allowance; // Its quota is nine.
