--- a/libs/mintknotd-platform/policy/include/mintknot/policy/call_charges.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/call_charges.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// Decides which calls of a generation request consume a retry.
-// /
+///
 /// The configured bound counts the calls of a request that reach servers: the
 /// first is free, each further one is a retry. One prefill that an engine has
 /// executed does not count. The retry for a decode is reserved before its
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/retry_allowance.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/retry_allowance.hpp
@@ -1,18 +1,18 @@
 /// @file
 /// Retry budget of an instance for a service.
-// /
+///
 /// Keeps the configured bound on retries for all instances together. The method
 /// depends on the size of the group (policy/group.hpp):
-// /
+///
 /// - Small groups: an instance spends its own share and retries that its peers
-// /   leave unused according to their latest heartbeats, which are about 60 ms
-// /   old. Compared with own shares alone this changed the net benefit by
-// /   0.016 at most (at least ten runs on each of three deployments); it helps
-// /   if only one instance needs retries.
+///   leave unused according to their latest heartbeats, which are about 60 ms
+///   old. Compared with own shares alone this changed the net benefit by
+///   0.016 at most (at least ten runs on each of three deployments); it helps
+///   if only one instance needs retries.
 /// - Large groups (retry_quota.hpp): heartbeats are up to several seconds old,
-// /   and all instances would spend the same remainder in the meantime. An
-// /   instance spends only its own quota and retries lent by peers.
-// /
+///   and all instances would spend the same remainder in the meantime. An
+///   instance spends only its own quota and retries lent by peers.
+///
 /// Metrics: `mintknot_repeats_total`, `mintknot_repeats_lent`,
 /// `mintknot_repeats_borrowed`. Refusals due to this budget have the reason
 /// `retry_allowance_spent`.
--- a/libs/mintknotd-platform/policy/include/mintknot/policy/retry_quota.hpp
+++ b/libs/mintknotd-platform/policy/include/mintknot/policy/retry_quota.hpp
@@ -2,7 +2,7 @@
 /// Retry quotas for large groups, in which the usage reported by peers is
 /// too old to share unused retries: fixed quotas that add up to the bound, and
 /// loans between instances.
-// /
+///
 /// Inputs: the counts of this instance only. In each window, an instance may
 /// spend `ratio` retries for each of its own requests and an equal share of
 /// `extra`. The sum of these quotas never exceeds the bound, whichever
@@ -13,7 +13,7 @@
 /// delayed, lost and duplicated datagrams can only waste a loan. After a
 /// restart, an instance does not know how much of its share of `extra` it had
 /// already spent or lent, so it has no such share until one window has passed.
-// /
+///
 /// Keeps the bound if many servers reject calls at once. With usage reports
 /// that were 1.2 s old, groups of 58 to 400 instances spent 1.57 times the
 /// bound, with quotas and loans 0.9 times (test_retry_bound.cpp). Log event:
