--- a/libs/mintknotd-platform/policy/tests/test_answer_timeout.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_answer_timeout.cpp
@@ -21,13 +21,13 @@
 
 } // namespace
 
-Test(answer_pace, nearby_instances_have_the_minimum_timeout) {
+Test(answer_timeout, nearby_instances_have_the_minimum_timeout) {
     answer_times times;
     cr_assert(answer_timeout(times, "h", min_timeout) == min_timeout);
     cr_assert(after_answer(times, base::milliseconds{2}, 1000) == min_timeout);
 }
 
-Test(answer_pace, a_late_answer_raises_the_timeout) {
+Test(answer_timeout, a_late_answer_raises_the_timeout) {
     answer_times times;
     cr_assert(
         after_answer(times, base::milliseconds{42}, 1000) ==
@@ -40,14 +40,14 @@
     cr_assert(answer_timeout(times, "h", min_timeout) == min_timeout);
 }
 
-Test(answer_pace, a_frozen_instance_does_not_exceed_the_maximum) {
+Test(answer_timeout, a_frozen_instance_does_not_exceed_the_maximum) {
     answer_times times;
     cr_assert(
         after_answer(times, base::milliseconds{4000}, 1000) ==
         base::milliseconds{120});
 }
 
-Test(answer_pace, an_unsolicited_answer_is_ignored) {
+Test(answer_timeout, an_unsolicited_answer_is_ignored) {
     answer_times times;
     note_answer_received(
         times, "h", base::steady_time{base::milliseconds{9000}});
--- a/libs/mintknotd-platform/policy/tests/test_staleness_bounds.cpp
+++ b/libs/mintknotd-platform/policy/tests/test_staleness_bounds.cpp
@@ -5,13 +5,13 @@
 using namespace mintknot::policy;
 using std::chrono::milliseconds;
 
-Test(news_age, a_bound_too_short_to_meet_causes_no_busy_loop) {
+Test(staleness_bounds, a_bound_too_short_to_meet_causes_no_busy_loop) {
     const staleness_bounds parts = staleness_bounds_for(milliseconds{1});
     cr_assert(parts.relayed_watch >= milliseconds{100});
     cr_assert(parts.retry_pause >= milliseconds{60});
 }
 
-Test(news_age, the_steps_of_propagation_stay_within_the_bound) {
+Test(staleness_bounds, the_steps_of_propagation_stay_within_the_bound) {
     // Duration of a call to the store in addition to its watch time.
     constexpr milliseconds call_slack{900};
     for (const milliseconds bound : {milliseconds{2000}, milliseconds{5000}}) {
